--- a/crates/node/src/control/groups.rs
+++ b/crates/node/src/control/groups.rs
@@ -3,7 +3,7 @@
 
 use super::Control;
 use bn_group::{Action, Coordinator, Order, OrderKind, RankReport, Settled};
-use bn_state::{Command, Group, LEADER};
+use bn_state::{Command, Group, LEADER_OPERATOR};
 use bn_wire::messages::envelope::Body;
 use bn_wire::messages::switch_order::Kind;
 use bn_wire::messages::{self as wire, SwitchOrder, SwitchReport};
@@ -115,7 +115,7 @@
     }
 
     fn propose_own(&mut self, text: String) {
-        let (operator, token) = (LEADER.to_string(), String::new());
+        let (operator, token) = (LEADER_OPERATOR.to_string(), String::new());
         let command = Command {
             operator,
             number: 0,
@@ -135,10 +135,10 @@
         from: group.map_step,
         map: group.map.to_string(),
         wanted: group
-            .wanted
+            .pending
             .as_ref()
             .map(|(version, map)| (*version, map.to_string())),
-        reserved: group.reserved,
+        reserved: group.reserved_until,
         ranks: group.ranks,
     }
 }
--- a/crates/node/src/control/propose.rs
+++ b/crates/node/src/control/propose.rs
@@ -3,7 +3,7 @@
 
 use super::{Control, shown};
 use bn_query::{Statement, Table, select};
-use bn_state::{Command, LEADER};
+use bn_state::{Command, LEADER_OPERATOR};
 use bn_wire::messages::envelope::Body;
 use bn_wire::messages::{self as wire, Outcome, Proposal};
 use prost::Message;
@@ -45,8 +45,8 @@
             );
         }
         let command = Command::from(raw);
-        if command.operator == LEADER {
-            let reason = format!("operator {LEADER:?} is the leader itself");
+        if command.operator == LEADER_OPERATOR {
+            let reason = format!("operator {LEADER_OPERATOR:?} is the leader itself");
             return self.refuse(inbox, call, reason);
         }
         if let Some(outcome) = self.leader_query(&command.text) {
@@ -65,7 +65,7 @@
             };
             return self.reply(inbox, done);
         }
-        match self.state.earlier(&command) {
+        match self.state.prior_outcome(&command) {
             Some(Ok(index)) => self.waits.0.push(Wait {
                 index,
                 call,
--- a/crates/node/src/entry/admit.rs
+++ b/crates/node/src/entry/admit.rs
@@ -59,8 +59,8 @@
         let account = self.state.account_by_hash(&arrival.key_hash);
         let (name, account) =
             account.ok_or_else(|| Refusal::not_run(401, "no account has this key"))?;
-        if arrival.priority > account.top {
-            let most = account.top.name();
+        if arrival.priority > account.max_priority {
+            let most = account.max_priority.name();
             return Err(Refusal::not_run(
                 403,
                 format!("this account's priority ends at {most}"),
--- a/crates/node/src/entry/operators.rs
+++ b/crates/node/src/entry/operators.rs
@@ -4,7 +4,7 @@
 use super::{Entry, Event};
 use crate::pages::{Extra, fault};
 use bn_query::{Cell, Show, Statement, Table, select};
-use bn_state::{Command, settled_table};
+use bn_state::{Command, config_table};
 use bn_wire::messages::envelope::Body;
 use bn_wire::messages::{Outcome, Proposal};
 use crossbeam::channel::{Sender, bounded};
@@ -140,7 +140,7 @@
         let table = match show.table.as_str() {
             "backends" => Some(self.backends_table()),
             "lease" => Some(self.lease_table()),
-            name => settled_table(&self.state, name),
+            name => config_table(&self.state, name),
         };
         let known = "services, accounts, entries, groups, drained, commands, backends, lease, members, leases";
         let Some(table) = table else {
@@ -225,7 +225,7 @@
     let cell = |c: &Cell| match c {
         Cell::Text(t) => json!(t),
         Cell::Number(n) => json!(n),
-        Cell::Flag(b) => json!(b),
+        Cell::Bool(b) => json!(b),
     };
     let rows: Vec<Vec<Value>> = table
         .rows
--- a/crates/query/src/ast.rs
+++ b/crates/query/src/ast.rs
@@ -1,4 +1,4 @@
-//! Statements and their parser.
+//! Statements of the operator language and their parser.
 
 use crate::{Error, Result};
 use pest::Parser;
@@ -9,10 +9,10 @@
 #[grammar = "grammar.pest"]
 struct Grammar;
 
-/// What `create`, `alter` and `drop` work on.
+/// Kind of object that `create`, `alter` and `drop` apply to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
-    /// A service: engines or a plain one.
+pub enum ObjectKind {
+    /// A service, of engines or plain.
     Service,
     /// A client account.
     Account,
@@ -24,9 +24,9 @@
     Member,
 }
 
-/// What `drain` works on.
+/// Kind of target that `drain` and `undrain` apply to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Place {
+pub enum DrainTarget {
     /// A backend server.
     Backend,
     /// An entry instance.
@@ -36,27 +36,27 @@
 /// `name=value` of a statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Setting {
-    /// Left of the sign.
+    /// Left of the equals sign.
     pub name: String,
-    /// Right of it, quotes removed.
+    /// Right of it, without quotes.
     pub value: String,
 }
 
-/// A comparison in `where`.
+/// A comparison operator in `where`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Compare {
+pub enum CompareOp {
     /// `=`
     Equal,
     /// `!=`
-    Differs,
+    NotEqual,
     /// `<`
-    Below,
+    Less,
     /// `<=`
-    AtMost,
+    LessOrEqual,
     /// `>`
-    Above,
+    Greater,
     /// `>=`
-    AtLeast,
+    GreaterOrEqual,
     /// `~`: contains
     Contains,
 }
@@ -66,58 +66,58 @@
 pub struct Condition {
     /// Column name.
     pub column: String,
-    /// How to compare.
-    pub compare: Compare,
-    /// With what.
+    /// Comparison operator.
+    pub compare: CompareOp,
+    /// Value to compare with.
     pub value: String,
 }
 
 /// `sort by`.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Order {
+pub struct SortOrder {
     /// Column name.
     pub column: String,
-    /// Largest first.
+    /// Sort in descending order.
     pub descending: bool,
 }
 
-/// A query.
+/// A `show` query.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Show {
-    /// The table, such as `backends`.
+    /// Table name, such as `backends`.
     pub table: String,
-    /// Columns wanted; none: all.
+    /// Selected columns; empty: all.
     pub columns: Vec<String>,
-    /// All must hold.
+    /// Conditions, all of which must hold.
     pub filter: Vec<Condition>,
-    /// How to sort.
-    pub order: Option<Order>,
-    /// Rows at most.
+    /// Sort order.
+    pub order: Option<SortOrder>,
+    /// Maximum number of rows.
     pub limit: Option<usize>,
 }
 
 /// One statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Statement {
-    /// Ask; changes nothing.
+    /// Query; changes nothing.
     Show(Show),
-    /// Add one.
-    Create(Kind, String, Vec<Setting>),
-    /// Change one.
-    Alter(Kind, String, Vec<Setting>),
-    /// Remove one.
-    Drop(Kind, String),
-    /// No new work there.
-    Drain(Place, String),
-    /// Work again.
-    Undrain(Place, String),
+    /// Add an object.
+    Create(ObjectKind, String, Vec<Setting>),
+    /// Change an object.
+    Alter(ObjectKind, String, Vec<Setting>),
+    /// Remove an object.
+    Drop(ObjectKind, String),
+    /// Stop new work there.
+    Drain(DrainTarget, String),
+    /// Accept new work again.
+    Undrain(DrainTarget, String),
     /// Change the expert map of a group.
     Switch(String, Vec<Setting>),
 }
 
-/// Parses a command whole.
+/// Parses all statements of a command.
 pub fn parse(text: &str) -> Result<Vec<Statement>> {
-    let mut pairs = Grammar::parse(Rule::program, text).map_err(|e| syntax(&e))?;
+    let mut pairs = Grammar::parse(Rule::program, text).map_err(|e| syntax_error(&e))?;
     let program = pairs.next().map(Pair::into_inner);
     let statements = program
         .into_iter()
@@ -129,9 +129,9 @@
         .collect())
 }
 
-fn syntax(error: &pest::error::Error<Rule>) -> Error {
+fn syntax_error(error: &pest::error::Error<Rule>) -> Error {
     let (line, column) = match error.line_col {
-        LineColLocation::Pos(at) | LineColLocation::Span(at, _) => at,
+        LineColLocation::Pos(start) | LineColLocation::Span(start, _) => start,
     };
     Error::Syntax {
         line,
@@ -150,16 +150,18 @@
             Statement::Show(show(table, parts))
         }
         Rule::create => {
-            let (kind, name) = (kind(next()), next().map(text).unwrap_or_default());
+            let (kind, name) = (object_kind(next()), next().map(text).unwrap_or_default());
             Statement::Create(kind, name, parts.map(setting).collect())
         }
         Rule::alter => {
-            let (kind, name) = (kind(next()), next().map(text).unwrap_or_default());
+            let (kind, name) = (object_kind(next()), next().map(text).unwrap_or_default());
             Statement::Alter(kind, name, parts.map(setting).collect())
         }
-        Rule::drop => Statement::Drop(kind(next()), next().map(text).unwrap_or_default()),
-        Rule::drain => Statement::Drain(place(next()), next().map(text).unwrap_or_default()),
-        Rule::undrain => Statement::Undrain(place(next()), next().map(text).unwrap_or_default()),
+        Rule::drop => Statement::Drop(object_kind(next()), next().map(text).unwrap_or_default()),
+        Rule::drain => Statement::Drain(drain_target(next()), next().map(text).unwrap_or_default()),
+        Rule::undrain => {
+            Statement::Undrain(drain_target(next()), next().map(text).unwrap_or_default())
+        }
         _ => {
             let name = next().map(text).unwrap_or_default();
             Statement::Switch(name, parts.map(setting).collect())
@@ -171,30 +173,30 @@
     pair.as_str().to_string()
 }
 
-fn kind(pair: Option<Pair<'_, Rule>>) -> Kind {
+fn object_kind(pair: Option<Pair<'_, Rule>>) -> ObjectKind {
     match pair
         .map(text)
         .unwrap_or_default()
         .to_ascii_lowercase()
         .as_str()
     {
-        "service" => Kind::Service,
-        "account" => Kind::Account,
-        "entry" => Kind::Entry,
-        "group" => Kind::Group,
-        _ => Kind::Member,
+        "service" => ObjectKind::Service,
+        "account" => ObjectKind::Account,
+        "entry" => ObjectKind::Entry,
+        "group" => ObjectKind::Group,
+        _ => ObjectKind::Member,
     }
 }
 
-fn place(pair: Option<Pair<'_, Rule>>) -> Place {
+fn drain_target(pair: Option<Pair<'_, Rule>>) -> DrainTarget {
     match pair
         .map(text)
         .unwrap_or_default()
         .to_ascii_lowercase()
         .as_str()
     {
-        "backend" => Place::Backend,
-        _ => Place::Entry,
+        "backend" => DrainTarget::Backend,
+        _ => DrainTarget::Entry,
     }
 }
 
@@ -220,7 +222,7 @@
         match part.as_rule() {
             Rule::columns => show.columns = part.into_inner().map(text).collect(),
             Rule::filter => show.filter = part.into_inner().map(condition).collect(),
-            Rule::order => show.order = Some(order(part)),
+            Rule::order => show.order = Some(sort_order(part)),
             _ => {
                 show.limit = part
                     .into_inner()
@@ -236,13 +238,13 @@
     let mut parts = pair.into_inner();
     let column = parts.next().map(text).unwrap_or_default();
     let compare = match parts.next().map(text).unwrap_or_default().as_str() {
-        "!=" => Compare::Differs,
-        "<" => Compare::Below,
-        "<=" => Compare::AtMost,
-        ">" => Compare::Above,
-        ">=" => Compare::AtLeast,
-        "~" => Compare::Contains,
-        _ => Compare::Equal,
+        "!=" => CompareOp::NotEqual,
+        "<" => CompareOp::Less,
+        "<=" => CompareOp::LessOrEqual,
+        ">" => CompareOp::Greater,
+        ">=" => CompareOp::GreaterOrEqual,
+        "~" => CompareOp::Contains,
+        _ => CompareOp::Equal,
     };
     Condition {
         column,
@@ -251,11 +253,11 @@
     }
 }
 
-fn order(pair: Pair<'_, Rule>) -> Order {
+fn sort_order(pair: Pair<'_, Rule>) -> SortOrder {
     let mut parts = pair.into_inner();
     let column = parts.next().map(text).unwrap_or_default();
     let descending = parts
         .next()
         .is_some_and(|d| d.as_str().eq_ignore_ascii_case("desc"));
-    Order { column, descending }
+    SortOrder { column, descending }
 }
--- a/crates/query/src/lib.rs
+++ b/crates/query/src/lib.rs
@@ -1,18 +1,20 @@
-//! The operator language: parsing a command into statements, and running `show`
-//! over rows. What the statements mean is `bn-state`'s.
+//! The operator language: parses a command into statements and evaluates `show` over rows.
+//! The effect of the other statements is defined in `bn-state`.
 
 mod ast;
 mod table;
 
-pub use ast::{Compare, Condition, Kind, Order, Place, Setting, Show, Statement, parse};
+pub use ast::{
+    CompareOp, Condition, DrainTarget, ObjectKind, Setting, Show, SortOrder, Statement, parse,
+};
 pub use table::{Cell, Row, Table, select};
 
 use snafu::Snafu;
 
-/// Why a command or a query was not taken.
+/// Why a command or a query was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// The text does not follow the grammar.
+    /// The text does not match the grammar.
     #[snafu(display("line {line}, column {column}: {reason}"))]
     Syntax {
         /// Line, from 1.
@@ -22,12 +24,12 @@
         /// What was expected there.
         reason: String,
     },
-    /// A query names a column that the table lacks.
+    /// A query names a column that the table does not have.
     #[snafu(display("no column {column:?}; there are: {known}"))]
-    Column {
-        /// The name asked for.
+    UnknownColumn {
+        /// The requested name.
         column: String,
-        /// The names there are.
+        /// The existing names.
         known: String,
     },
 }
--- a/crates/query/src/table.rs
+++ b/crates/query/src/table.rs
@@ -1,6 +1,6 @@
-//! Rows, and running a `show` over them.
+//! Tables, and evaluation of `show` over them.
 
-use crate::{Compare, Condition, Error, Order, Result, Show};
+use crate::{CompareOp, Condition, Error, Result, Show, SortOrder};
 use std::cmp::Ordering;
 use std::fmt;
 
@@ -9,10 +9,10 @@
 pub enum Cell {
     /// Text.
     Text(String),
-    /// A number; whole ones print without a point.
+    /// A number; integers print without a decimal point.
     Number(f64),
-    /// Yes or no.
-    Flag(bool),
+    /// Prints as `yes` or `no`.
+    Bool(bool),
 }
 
 impl fmt::Display for Cell {
@@ -21,7 +21,7 @@
             Cell::Text(t) => f.write_str(t),
             Cell::Number(n) if n.fract() == 0.0 => write!(f, "{n:.0}"),
             Cell::Number(n) => write!(f, "{n:.2}"),
-            Cell::Flag(b) => write!(f, "{}", if *b { "yes" } else { "no" }),
+            Cell::Bool(b) => write!(f, "{}", if *b { "yes" } else { "no" }),
         }
     }
 }
@@ -46,7 +46,7 @@
 
 impl From<bool> for Cell {
     fn from(b: bool) -> Cell {
-        Cell::Flag(b)
+        Cell::Bool(b)
     }
 }
 
@@ -71,33 +71,35 @@
         }
     }
 
-    fn column(&self, name: &str) -> Result<usize> {
+    fn column_index(&self, name: &str) -> Result<usize> {
         let found = self
             .columns
             .iter()
             .position(|c| c.eq_ignore_ascii_case(name));
-        found.ok_or_else(|| Error::Column {
+        found.ok_or_else(|| Error::UnknownColumn {
             column: name.into(),
             known: self.columns.join(", "),
         })
     }
 }
 
-/// Runs the filter, sort, limit and columns of a query over `table`.
+/// Applies the filter, sort order, limit and columns of a query to `table`.
 pub fn select(show: &Show, mut table: Table) -> Result<Table> {
     for condition in &show.filter {
-        let at = table.column(&condition.column)?;
+        let index = table.column_index(&condition.column)?;
         table
             .rows
-            .retain(|r| r.get(at).is_some_and(|c| holds(c, condition)));
+            .retain(|r| r.get(index).is_some_and(|c| matches(c, condition)));
     }
-    if let Some(Order { column, descending }) = &show.order {
-        let at = table.column(column)?;
-        table.rows.sort_by(|a, b| match (a.get(at), b.get(at)) {
-            (Some(a), Some(b)) if *descending => compare(b, a),
-            (Some(a), Some(b)) => compare(a, b),
-            _ => Ordering::Equal,
-        });
+    if let Some(SortOrder { column, descending }) = &show.order {
+        let index = table.column_index(column)?;
+        table
+            .rows
+            .sort_by(|a, b| match (a.get(index), b.get(index)) {
+                (Some(a), Some(b)) if *descending => compare(b, a),
+                (Some(a), Some(b)) => compare(a, b),
+                _ => Ordering::Equal,
+            });
     }
     if let Some(limit) = show.limit {
         table.rows.truncate(limit);
@@ -105,15 +107,15 @@
     if show.columns.is_empty() {
         return Ok(table);
     }
-    let picks = show
+    let indexes = show
         .columns
         .iter()
-        .map(|c| table.column(c))
+        .map(|c| table.column_index(c))
         .collect::<Result<Vec<_>>>()?;
-    let pick = |r: &Row| picks.iter().filter_map(|i| r.get(*i).cloned()).collect();
+    let project = |r: &Row| indexes.iter().filter_map(|i| r.get(*i).cloned()).collect();
     Ok(Table {
         columns: show.columns.clone(),
-        rows: table.rows.iter().map(pick).collect(),
+        rows: table.rows.iter().map(project).collect(),
     })
 }
 
@@ -124,19 +126,19 @@
     }
 }
 
-fn holds(cell: &Cell, condition: &Condition) -> bool {
-    let wanted = match (cell, condition.value.parse::<f64>()) {
+fn matches(cell: &Cell, condition: &Condition) -> bool {
+    let operand = match (cell, condition.value.parse::<f64>()) {
         (Cell::Number(_), Ok(n)) => Cell::Number(n),
         _ => Cell::Text(condition.value.clone()),
     };
-    let order = compare(cell, &wanted);
+    let ordering = compare(cell, &operand);
     match condition.compare {
-        Compare::Equal => order == Ordering::Equal,
-        Compare::Differs => order != Ordering::Equal,
-        Compare::Below => order == Ordering::Less,
-        Compare::AtMost => order != Ordering::Greater,
-        Compare::Above => order == Ordering::Greater,
-        Compare::AtLeast => order != Ordering::Less,
-        Compare::Contains => cell.to_string().contains(&condition.value),
+        CompareOp::Equal => ordering == Ordering::Equal,
+        CompareOp::NotEqual => ordering != Ordering::Equal,
+        CompareOp::Less => ordering == Ordering::Less,
+        CompareOp::LessOrEqual => ordering != Ordering::Greater,
+        CompareOp::Greater => ordering == Ordering::Greater,
+        CompareOp::GreaterOrEqual => ordering != Ordering::Less,
+        CompareOp::Contains => cell.to_string().contains(&condition.value),
     }
 }
--- a/crates/query/tests/language.rs
+++ b/crates/query/tests/language.rs
@@ -1,8 +1,8 @@
-//! The operator language: what parses, what is refused where, and `show`.
+//! The operator language: parsing, positions of syntax errors, and `show`.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
-use bn_query::{Cell, Error, Kind, Place, Show, Statement, Table, parse, select};
+use bn_query::{Cell, DrainTarget, Error, ObjectKind, Show, Statement, Table, parse, select};
 use googletest::prelude::*;
 
 fn show(text: &str) -> Show {
@@ -29,7 +29,7 @@
 }
 
 #[gtest]
-fn several_statements_make_one_command() -> Result<()> {
+fn a_command_holds_several_statements() -> Result<()> {
     let text = "create account a1 key=\"k 1\" rate=5; -- a comment\n drain backend n1;";
 
     let statements = parse(text)?;
@@ -37,17 +37,17 @@
     verify_that!(statements.len(), eq(2))?;
     verify_that!(
         statements[1],
-        eq(&Statement::Drain(Place::Backend, "n1".into()))
+        eq(&Statement::Drain(DrainTarget::Backend, "n1".into()))
     )?;
-    let Statement::Create(Kind::Account, name, sets) = &statements[0] else {
+    let Statement::Create(ObjectKind::Account, name, settings) = &statements[0] else {
         panic!()
     };
     verify_that!(name.as_str(), eq("a1"))?;
-    verify_that!(sets[0].value.as_str(), eq("k 1"))
+    verify_that!(settings[0].value.as_str(), eq("k 1"))
 }
 
-/// Input, then line and column of the fault.
-const WRONG: [(&str, usize, usize); 6] = [
+/// Input, then line and column of the syntax error.
+const INVALID: [(&str, usize, usize); 6] = [
     ("", 1, 1),
     ("frobnicate x", 1, 1),
     ("drain backend", 1, 14),
@@ -57,8 +57,8 @@
 ];
 
 #[gtest]
-fn a_fault_names_its_place() {
-    for (text, line, column) in WRONG {
+fn syntax_errors_give_line_and_column() {
+    for (text, line, column) in INVALID {
         match parse(text) {
             Err(Error::Syntax {
                 line: l, column: c, ..
@@ -70,7 +70,7 @@
     }
 }
 
-/// Query, then the rows it leaves.
+/// Query, then the first column of the rows it selects.
 const QUERIES: [(&str, &[&str]); 7] = [
     ("show backends", &["n1", "n2", "n3"]),
     ("show backends where state = serving", &["n1", "n3"]),
@@ -91,13 +91,13 @@
 }
 
 #[gtest]
-fn an_unknown_column_is_named_with_those_there_are() {
+fn an_unknown_column_is_reported_with_the_existing_ones() {
     let outcome = select(&show("show backends where colour = red"), backends());
 
     let known = "backend, state, load".to_string();
     expect_that!(
         outcome,
-        err(eq(&Error::Column {
+        err(eq(&Error::UnknownColumn {
             column: "colour".into(),
             known
         }))
@@ -112,15 +112,15 @@
 }
 
 proptest::proptest! {
-    /// Whatever comes in, parsing ends with statements or a fault.
+    /// Parsing any text returns statements or an error.
     #[test]
-    fn no_text_breaks_the_parser(text in "\\PC{0,80}") {
+    fn parsing_any_text_does_not_panic(text in "\\PC{0,80}") {
         let _ = parse(&text);
     }
 
-    /// Likewise for text that is nearly right.
+    /// The same for text that is nearly valid.
     #[test]
-    fn no_near_miss_breaks_the_parser(text in "(show|create|drain|alter|;|=|\"|backend|account|where| |n1|--){0,20}") {
+    fn parsing_nearly_valid_text_does_not_panic(text in "(show|create|drain|alter|;|=|\"|backend|account|where| |n1|--){0,20}") {
         let _ = parse(&text);
     }
 }
--- a/crates/state/src/apply.rs
+++ b/crates/state/src/apply.rs
@@ -1,30 +1,30 @@
-//! Applying commands: numbered, whole or not at all.
+//! Application of numbered commands, each one atomically.
 
-use crate::model::{Account, Entry, Group, Priority, Revision, Seen, Service, State};
+use crate::model::{Account, CommandRecord, Entry, Group, Priority, Revision, Service, State};
 use crate::{Refusal, Result};
 use bn_group::ExpertMap;
-use bn_query::{Kind, Place, Setting, Statement};
+use bn_query::{DrainTarget, ObjectKind, Setting, Statement};
 use sha2::{Digest, Sha256};
 use std::net::SocketAddr;
 use std::str::FromStr;
 
-/// Operator of the leader's own commands. They carry no number: each names the version
-/// it settles, so a second one finds nothing to settle.
-pub const LEADER: &str = "control";
-/// Commands remembered for resends.
-const REMEMBERED: usize = 10_000;
-const MOST_LAYERS: u32 = 256;
-/// Client accounts start with this rate, in requests a second.
+/// Operator name of the leader's own commands. They carry no number: each names the version
+/// that it commits, so a duplicate finds nothing to commit.
+pub const LEADER_OPERATOR: &str = "control";
+/// Number of commands recorded to answer resends.
+const MAX_COMMAND_RECORDS: usize = 10_000;
+const MAX_LAYERS: u32 = 256;
+/// Initial rate of client accounts, in requests per second.
 const DEFAULT_RATE: f64 = 1000.0;
 
 /// A numbered command of an operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Command {
-    /// Who sends it.
+    /// Operator that sends it.
     pub operator: String,
-    /// Unique among all commands; a race for one number has one winner.
+    /// Unique among all commands; of commands that race for one number, one wins.
     pub number: u64,
-    /// Tells a resend from another command.
+    /// Distinguishes a resend from another command.
     pub token: String,
     /// Statements of the operator language.
     pub text: String,
@@ -39,171 +39,176 @@
 }
 
 impl State {
-    /// Applies the command that stands at `index` of the log. A resend gets the
-    /// first outcome; what fails changes nothing but the revision.
+    /// Applies the command at log index `index`. A resend returns the first outcome; a failed
+    /// command changes only the revision.
     pub fn apply(&mut self, index: Revision, command: &Command) -> Result<Revision> {
         self.revision = index;
-        if command.operator == LEADER {
-            return self.attempt(command).map(|()| index);
+        if command.operator == LEADER_OPERATOR {
+            return self.execute(command).map(|()| index);
         }
-        if let Some(outcome) = self.earlier(command) {
+        if let Some(outcome) = self.prior_outcome(command) {
             return outcome;
         }
-        let outcome = self.attempt(command);
+        let outcome = self.execute(command);
         let refusal = outcome.as_ref().err().map(ToString::to_string);
-        self.remember(index, command, refusal);
+        self.record_outcome(index, command, refusal);
         outcome.map(|()| index)
     }
 
-    /// The outcome that the command's number already decides, if any. The leader
-    /// asks before it proposes, so that a resend costs no log entry.
-    pub fn earlier(&self, command: &Command) -> Option<Result<Revision>> {
+    /// The outcome already determined by the command's number, if any. The leader checks it before
+    /// proposing, so that a resend costs no log entry.
+    pub fn prior_outcome(&self, command: &Command) -> Option<Result<Revision>> {
         let number = command.number;
-        if let Some(seen) = self.seen.get(&number) {
-            let same = seen.token == command.token && seen.digest == digest(&command.text);
-            let winner = seen.operator.clone();
-            return Some(match &seen.refusal {
-                _ if !same => Err(Refusal::Taken {
+        if let Some(record) = self.command_records.get(&number) {
+            let same = record.token == command.token && record.digest == digest(&command.text);
+            let winner = record.operator.clone();
+            return Some(match &record.refusal {
+                _ if !same => Err(Refusal::NumberTaken {
                     number,
                     winner,
-                    revision: seen.revision,
+                    revision: record.revision,
                 }),
-                Some(reason) => Err(Refusal::Again {
+                Some(reason) => Err(Refusal::Replayed {
                     reason: reason.clone(),
                 }),
-                None => Ok(seen.revision),
+                None => Ok(record.revision),
             });
         }
-        // Below the lowest number remembered a resend cannot be told from a new
-        // command; running it could undo what came after it.
+        // Below the lowest recorded number, a resend cannot be distinguished from a new command;
+        // executing it could undo later commands.
         let floor = self
-            .seen
+            .command_records
             .keys()
             .next()
             .copied()
-            .filter(|_| self.seen.len() >= REMEMBERED)?;
+            .filter(|_| self.command_records.len() >= MAX_COMMAND_RECORDS)?;
         (number < floor).then_some(Err(Refusal::TooOld { number, floor }))
     }
 
-    fn remember(&mut self, revision: Revision, command: &Command, refusal: Option<String>) {
-        let seen = Seen {
+    fn record_outcome(&mut self, revision: Revision, command: &Command, refusal: Option<String>) {
+        let record = CommandRecord {
             operator: command.operator.clone(),
             token: command.token.clone(),
             digest: digest(&command.text),
             revision,
             refusal,
         };
-        self.seen.insert(command.number, seen);
-        while self.seen.len() > REMEMBERED {
-            self.seen.pop_first();
+        self.command_records.insert(command.number, record);
+        while self.command_records.len() > MAX_COMMAND_RECORDS {
+            self.command_records.pop_first();
         }
     }
 
-    fn attempt(&mut self, command: &Command) -> Result<()> {
+    fn execute(&mut self, command: &Command) -> Result<()> {
         let statements =
             bn_query::parse(&command.text).map_err(|source| Refusal::Syntax { source })?;
-        // What was seen is large and no statement touches it: it is not copied.
-        let seen = std::mem::take(&mut self.seen);
+        // The command records are large and no statement changes them, so they are not copied.
+        let records = std::mem::take(&mut self.command_records);
         let mut next = self.clone();
-        self.seen = seen;
-        let leads = command.operator == LEADER;
+        self.command_records = records;
+        let by_leader = command.operator == LEADER_OPERATOR;
         for (i, statement) in statements.iter().enumerate() {
             let at = |reason| Refusal::Statement {
                 position: i + 1,
                 reason,
             };
-            // An operator's commit at a step of his own would mix maps.
-            need(leads || !is_leaders(statement), "only the leader says this").map_err(at)?;
-            next.statement(statement).map_err(at)?;
+            // A commit by an operator, at a step of its choice, would mix maps.
+            ensure(
+                by_leader || !is_leader_only(statement),
+                "only the leader says this",
+            )
+            .map_err(at)?;
+            next.execute_statement(statement).map_err(at)?;
         }
         if !next.entries.keys().eq(self.entries.keys()) {
             next.claim_epoch = self.revision;
         }
-        next.seen = std::mem::take(&mut self.seen);
+        next.command_records = std::mem::take(&mut self.command_records);
         *self = next;
         Ok(())
     }
 
-    fn statement(&mut self, statement: &Statement) -> Result<(), String> {
+    fn execute_statement(&mut self, statement: &Statement) -> Result<(), String> {
         match statement {
             Statement::Show(_) => Err("show changes nothing: ask it on its own".into()),
-            Statement::Create(kind, name, sets) => self.create(*kind, name, sets),
-            Statement::Alter(kind, name, sets) => self.alter(*kind, name, sets),
-            Statement::Drop(kind, name) => self.drop_one(*kind, name),
-            Statement::Drain(place, name) => self.drain(*place, name, true),
-            Statement::Undrain(place, name) => self.drain(*place, name, false),
-            Statement::Switch(name, sets) => self.switch(name, sets),
+            Statement::Create(kind, name, settings) => self.create(*kind, name, settings),
+            Statement::Alter(kind, name, settings) => self.alter(*kind, name, settings),
+            Statement::Drop(kind, name) => self.drop_object(*kind, name),
+            Statement::Drain(target, name) => self.drain(*target, name, true),
+            Statement::Undrain(target, name) => self.drain(*target, name, false),
+            Statement::Switch(name, settings) => self.switch(name, settings),
         }
     }
 
-    fn create(&mut self, kind: Kind, name: &str, sets: &[Setting]) -> Result<(), String> {
-        let there = match kind {
-            Kind::Service => self.services.contains_key(name),
-            Kind::Account => self.accounts.contains_key(name),
-            Kind::Entry => self.entries.contains_key(name),
-            Kind::Group => self.groups.contains_key(name),
-            Kind::Member => self.members.contains_key(name),
+    fn create(&mut self, kind: ObjectKind, name: &str, settings: &[Setting]) -> Result<(), String> {
+        let exists = match kind {
+            ObjectKind::Service => self.services.contains_key(name),
+            ObjectKind::Account => self.accounts.contains_key(name),
+            ObjectKind::Entry => self.entries.contains_key(name),
+            ObjectKind::Group => self.groups.contains_key(name),
+            ObjectKind::Member => self.members.contains_key(name),
         };
-        if there {
+        if exists {
             return Err(format!("{name} exists already"));
         }
         match kind {
-            Kind::Service => {
+            ObjectKind::Service => {
                 let mut s = Service {
                     engine: false,
                     repeatable: true,
                     skew_weight: 1.0,
                     move_weight: 1.0,
                 };
-                set_service(&mut s, sets)?;
+                set_service(&mut s, settings)?;
                 self.services.insert(name.into(), s);
             }
-            Kind::Account => {
+            ObjectKind::Account => {
                 let mut a = Account {
                     key_hash: String::new(),
                     rate: DEFAULT_RATE,
                     share: 1,
-                    top: Priority::Normal,
+                    max_priority: Priority::Normal,
                 };
-                set_account(&mut a, sets)?;
-                need(
+                set_account(&mut a, settings)?;
+                ensure(
                     !a.key_hash.is_empty(),
                     "an account needs key=... or key_hash=...",
                 )?;
                 let taken = self.account_by_hash(&a.key_hash).map(|(n, _)| n.clone());
-                need(taken.is_none(), "this key is another account's")?;
+                ensure(taken.is_none(), "this key is another account's")?;
                 self.accounts.insert(name.into(), a);
             }
-            Kind::Entry => {
+            ObjectKind::Entry => {
                 let e = Entry {
-                    domain: wanted(sets, "domain")?,
-                    callers: wanted(sets, "callers")?,
-                    inbox: wanted(sets, "inbox")?,
+                    domain: required(settings, "domain")?,
+                    callers: required(settings, "callers")?,
+                    inbox: required(settings, "inbox")?,
                     drained: false,
                 };
-                known(sets, &["domain", "callers", "inbox"])?;
+                reject_unknown(settings, &["domain", "callers", "inbox"])?;
                 self.entries.insert(name.into(), e);
             }
-            Kind::Member => {
-                known(sets, &["inbox"])?;
-                self.members.insert(name.into(), wanted(sets, "inbox")?);
+            ObjectKind::Member => {
+                reject_unknown(settings, &["inbox"])?;
+                self.members
+                    .insert(name.into(), required(settings, "inbox")?);
             }
-            Kind::Group => self.create_group(name, sets)?,
+            ObjectKind::Group => self.create_group(name, settings)?,
         }
         Ok(())
     }
 
-    fn create_group(&mut self, name: &str, sets: &[Setting]) -> Result<(), String> {
-        known(sets, &["service", "ranks", "experts", "layers"])?;
-        let service: String = wanted(sets, "service")?;
-        let ranks: u32 = wanted(sets, "ranks")?;
-        let experts: u32 = wanted(sets, "experts")?;
-        let layers: u32 = optional(sets, "layers")?.unwrap_or(1);
-        let there = self.services.contains_key(&service);
-        need(there, "there is no such service")?;
-        let sized = ranks > 0 && experts >= ranks && layers > 0 && layers <= MOST_LAYERS;
-        need(
-            sized,
+    fn create_group(&mut self, name: &str, settings: &[Setting]) -> Result<(), String> {
+        reject_unknown(settings, &["service", "ranks", "experts", "layers"])?;
+        let service: String = required(settings, "service")?;
+        let ranks: u32 = required(settings, "ranks")?;
+        let experts: u32 = required(settings, "experts")?;
+        let layers: u32 = optional(settings, "layers")?.unwrap_or(1);
+        let exists = self.services.contains_key(&service);
+        ensure(exists, "there is no such service")?;
+        let valid = ranks > 0 && experts >= ranks && layers > 0 && layers <= MAX_LAYERS;
+        ensure(
+            valid,
             "give at least one expert a rank, and 1 to 256 layers",
         )?;
         let map = ExpertMap::even(layers as usize, experts as usize, ranks as usize);
@@ -213,203 +218,214 @@
             map_version: 1,
             map_step: 0,
             map,
-            wanted: None,
-            versions: 1,
-            reserved: 0,
+            pending: None,
+            last_version: 1,
+            reserved_until: 0,
         };
         self.groups.insert(name.into(), group);
         Ok(())
     }
 
-    fn alter(&mut self, kind: Kind, name: &str, sets: &[Setting]) -> Result<(), String> {
+    fn alter(&mut self, kind: ObjectKind, name: &str, settings: &[Setting]) -> Result<(), String> {
         let missing = || format!("there is no {name}");
         match kind {
-            Kind::Service => set_service(self.services.get_mut(name).ok_or_else(missing)?, sets),
-            Kind::Account => {
-                set_account(self.accounts.get_mut(name).ok_or_else(missing)?, sets)?;
+            ObjectKind::Service => {
+                set_service(self.services.get_mut(name).ok_or_else(missing)?, settings)
+            }
+            ObjectKind::Account => {
+                set_account(self.accounts.get_mut(name).ok_or_else(missing)?, settings)?;
                 let hash = self.accounts.get(name).map(|a| a.key_hash.clone());
                 let same = self
                     .accounts
                     .values()
                     .filter(|a| Some(&a.key_hash) == hash.as_ref());
-                need(same.count() == 1, "this key is another account's")
+                ensure(same.count() == 1, "this key is another account's")
             }
-            Kind::Entry => {
+            ObjectKind::Entry => {
                 let entry = self.entries.get_mut(name).ok_or_else(missing)?;
-                known(sets, &["domain", "callers", "inbox"])?;
-                let take = |s: &Setting| sets_entry(entry, s);
-                sets.iter().try_for_each(take)
+                reject_unknown(settings, &["domain", "callers", "inbox"])?;
+                let set = |s: &Setting| set_entry(entry, s);
+                settings.iter().try_for_each(set)
+            }
+            ObjectKind::Group | ObjectKind::Member => {
+                Err("use switch group, or drop and create".into())
             }
-            Kind::Group | Kind::Member => Err("use switch group, or drop and create".into()),
         }
     }
 
-    fn drop_one(&mut self, kind: Kind, name: &str) -> Result<(), String> {
-        let gone = match kind {
-            Kind::Service => {
+    fn drop_object(&mut self, kind: ObjectKind, name: &str) -> Result<(), String> {
+        let removed = match kind {
+            ObjectKind::Service => {
                 let used = self.groups.values().any(|g| g.service == name);
-                need(!used, "a group still backs this service")?;
+                ensure(!used, "a group still backs this service")?;
                 self.services.shift_remove(name).is_some()
             }
-            Kind::Account => self.accounts.shift_remove(name).is_some(),
-            Kind::Entry => self.entries.shift_remove(name).is_some(),
-            Kind::Group => self.groups.shift_remove(name).is_some(),
-            Kind::Member => {
-                need(self.members.len() > 1, "the last member stays")?;
+            ObjectKind::Account => self.accounts.shift_remove(name).is_some(),
+            ObjectKind::Entry => self.entries.shift_remove(name).is_some(),
+            ObjectKind::Group => self.groups.shift_remove(name).is_some(),
+            ObjectKind::Member => {
+                ensure(self.members.len() > 1, "the last member stays")?;
                 self.members.shift_remove(name).is_some()
             }
         };
-        need(gone, &format!("there is no {name}"))
+        ensure(removed, &format!("there is no {name}"))
     }
 
-    fn drain(&mut self, place: Place, name: &str, on: bool) -> Result<(), String> {
-        match place {
-            Place::Backend if on => {
+    fn drain(&mut self, target: DrainTarget, name: &str, drained: bool) -> Result<(), String> {
+        match target {
+            DrainTarget::Backend if drained => {
                 self.drained.insert(name.into());
             }
-            Place::Backend => {
-                need(self.drained.shift_remove(name), "it is not drained")?;
+            DrainTarget::Backend => {
+                ensure(self.drained.shift_remove(name), "it is not drained")?;
             }
-            Place::Entry => {
+            DrainTarget::Entry => {
                 let entry = self.entries.get_mut(name);
-                entry.ok_or_else(|| format!("there is no {name}"))?.drained = on;
+                entry.ok_or_else(|| format!("there is no {name}"))?.drained = drained;
             }
         }
         Ok(())
     }
 
-    /// `map=` asks for a switch; the leader then prepares it and commits it with
-    /// `commit=` at a step, or gives it up with `cancel=`; `reserve=` bounds what it
-    /// may grant.
-    fn switch(&mut self, name: &str, sets: &[Setting]) -> Result<(), String> {
-        known(sets, &["map", "commit", "step", "cancel", "reserve"])?;
+    /// `map=` requests a switch; the leader then prepares it and commits it with `commit=` at a
+    /// step, or abandons it with `cancel=`; `reserve=` bounds the steps that it may grant.
+    fn switch(&mut self, name: &str, settings: &[Setting]) -> Result<(), String> {
+        reject_unknown(settings, &["map", "commit", "step", "cancel", "reserve"])?;
         let group = self
             .groups
             .get_mut(name)
             .ok_or_else(|| format!("there is no {name}"))?;
-        if let Some(version) = optional::<u64>(sets, "cancel")? {
-            return group.take_wanted(version).map(drop);
+        if let Some(version) = optional::<u64>(settings, "cancel")? {
+            return group.take_pending(version).map(drop);
         }
-        if let Some(until) = optional::<u64>(sets, "reserve")? {
-            group.reserved = group.reserved.max(until);
+        if let Some(until) = optional::<u64>(settings, "reserve")? {
+            group.reserved_until = group.reserved_until.max(until);
             return Ok(());
         }
-        if let Some(version) = optional::<u64>(sets, "commit")? {
-            let step: u64 = wanted(sets, "step")?;
-            need(
+        if let Some(version) = optional::<u64>(settings, "commit")? {
+            let step: u64 = required(settings, "step")?;
+            ensure(
                 step >= group.map_step,
                 "the step lies before the last switch",
             )?;
-            let map = group.take_wanted(version)?;
+            let map = group.take_pending(version)?;
             (group.map_version, group.map_step, group.map) = (version, step, map);
             return Ok(());
         }
-        let text: String = wanted(sets, "map")?;
+        let text: String = required(settings, "map")?;
         let map = ExpertMap::parse(&text).map_err(|e| e.to_string())?;
-        need(
+        ensure(
             map.shape() == group.map.shape(),
             "the map must name every expert of every layer",
         )?;
-        need(
+        ensure(
             map.fits(group.ranks),
             "the map names a rank that is not there, or one twice",
         )?;
-        need(
-            group.wanted.is_none(),
+        ensure(
+            group.pending.is_none(),
             "a switch of this group is under way",
         )?;
-        group.versions += 1;
-        group.wanted = Some((group.versions, map));
+        group.last_version += 1;
+        group.pending = Some((group.last_version, map));
         Ok(())
     }
 }
 
 impl Group {
-    fn take_wanted(&mut self, version: u64) -> Result<ExpertMap, String> {
-        let found = self.wanted.take_if(|(v, _)| *v == version);
+    fn take_pending(&mut self, version: u64) -> Result<ExpertMap, String> {
+        let found = self.pending.take_if(|(v, _)| *v == version);
         found
             .map(|(_, map)| map)
             .ok_or_else(|| "this version is not wanted".into())
     }
 }
 
-fn set_service(service: &mut Service, sets: &[Setting]) -> Result<(), String> {
-    for s in sets {
+fn set_service(service: &mut Service, settings: &[Setting]) -> Result<(), String> {
+    for s in settings {
         match s.name.as_str() {
-            "engine" => service.engine = value(s)?,
-            "repeatable" => service.repeatable = value(s)?,
-            "skew_weight" => service.skew_weight = positive(s)?,
-            "move_weight" => service.move_weight = positive(s)?,
-            _ => return Err(unknown(s)),
+            "engine" => service.engine = parse_value(s)?,
+            "repeatable" => service.repeatable = parse_value(s)?,
+            "skew_weight" => service.skew_weight = non_negative(s)?,
+            "move_weight" => service.move_weight = non_negative(s)?,
+            _ => return Err(unknown_setting(s)),
         }
     }
     Ok(())
 }
 
-fn set_account(account: &mut Account, sets: &[Setting]) -> Result<(), String> {
-    for s in sets {
+fn set_account(account: &mut Account, settings: &[Setting]) -> Result<(), String> {
+    for s in settings {
         match s.name.as_str() {
             "key" => account.key_hash = digest(&s.value),
             "key_hash" => account.key_hash = s.value.to_ascii_lowercase(),
-            "rate" => account.rate = positive(s)?,
-            "share" => account.share = value(s)?,
+            "rate" => account.rate = non_negative(s)?,
+            "share" => account.share = parse_value(s)?,
             "top" => {
                 let top = Priority::parse(&s.value);
-                account.top = top.ok_or("top: give batch, normal or urgent")?;
+                account.max_priority = top.ok_or("top: give batch, normal or urgent")?;
             }
-            _ => return Err(unknown(s)),
+            _ => return Err(unknown_setting(s)),
         }
     }
     Ok(())
 }
 
-fn sets_entry(entry: &mut Entry, s: &Setting) -> Result<(), String> {
+fn set_entry(entry: &mut Entry, s: &Setting) -> Result<(), String> {
     match s.name.as_str() {
         "domain" => entry.domain = s.value.clone(),
-        "callers" => entry.callers = value::<SocketAddr>(s)?,
-        _ => entry.inbox = value::<SocketAddr>(s)?,
+        "callers" => entry.callers = parse_value::<SocketAddr>(s)?,
+        _ => entry.inbox = parse_value::<SocketAddr>(s)?,
     }
     Ok(())
 }
 
-fn is_leaders(statement: &Statement) -> bool {
-    let own = |s: &Setting| ["commit", "reserve"].contains(&s.name.as_str());
-    matches!(statement, Statement::Switch(_, sets) if sets.iter().any(own))
+fn is_leader_only(statement: &Statement) -> bool {
+    let leader_only = |s: &Setting| ["commit", "reserve"].contains(&s.name.as_str());
+    matches!(statement, Statement::Switch(_, settings) if settings.iter().any(leader_only))
 }
 
-fn need(holds: bool, reason: &str) -> Result<(), String> {
-    if holds { Ok(()) } else { Err(reason.into()) }
+fn ensure(condition: bool, reason: &str) -> Result<(), String> {
+    if condition {
+        Ok(())
+    } else {
+        Err(reason.into())
+    }
 }
 
-fn unknown(s: &Setting) -> String {
+fn unknown_setting(s: &Setting) -> String {
     format!("there is no setting {:?} here", s.name)
 }
 
-fn known(sets: &[Setting], names: &[&str]) -> Result<(), String> {
-    let stray = sets.iter().find(|s| !names.contains(&s.name.as_str()));
-    stray.map_or(Ok(()), |s| Err(unknown(s)))
+fn reject_unknown(settings: &[Setting], names: &[&str]) -> Result<(), String> {
+    let unknown = settings.iter().find(|s| !names.contains(&s.name.as_str()));
+    unknown.map_or(Ok(()), |s| Err(unknown_setting(s)))
 }
 
-fn value<T: FromStr>(s: &Setting) -> Result<T, String> {
+fn parse_value<T: FromStr>(s: &Setting) -> Result<T, String> {
     s.value
         .parse()
         .map_err(|_| format!("{}: {:?} does not fit", s.name, s.value))
 }
 
-fn positive(s: &Setting) -> Result<f64, String> {
-    let n: f64 = value(s)?;
-    need(
+fn non_negative(s: &Setting) -> Result<f64, String> {
+    let n: f64 = parse_value(s)?;
+    ensure(
         n.is_finite() && n >= 0.0,
         &format!("{}: give a number, 0 or more", s.name),
     )?;
     Ok(n)
 }
 
-fn optional<T: FromStr>(sets: &[Setting], name: &str) -> Result<Option<T>, String> {
-    sets.iter().find(|s| s.name == name).map(value).transpose()
+fn optional<T: FromStr>(settings: &[Setting], name: &str) -> Result<Option<T>, String> {
+    settings
+        .iter()
+        .find(|s| s.name == name)
+        .map(parse_value)
+        .transpose()
 }
 
-fn wanted<T: FromStr>(sets: &[Setting], name: &str) -> Result<T, String> {
-    let found = sets.iter().find(|s| s.name == name);
-    value(found.ok_or_else(|| format!("{name}=... is missing"))?)
+fn required<T: FromStr>(settings: &[Setting], name: &str) -> Result<T, String> {
+    let found = settings.iter().find(|s| s.name == name);
+    parse_value(found.ok_or_else(|| format!("{name}=... is missing"))?)
 }
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,60 +1,60 @@
-//! What the control log means: the settled configuration. Every replica applies the
-//! same commands in the same order and so holds the same state.
+//! State machine of the control log: the committed configuration. Every replica applies the same
+//! commands in the same order and therefore holds the same state.
 
 mod apply;
 mod model;
 mod tables;
 mod wire;
 
-pub use apply::{Command, LEADER, digest};
+pub use apply::{Command, LEADER_OPERATOR, digest};
 pub use model::{
-    Account, AccountId, BackendId, Entry, EntryId, Group, GroupId, Priority, Revision, Seen,
-    Service, ServiceId, State,
+    Account, AccountId, BackendId, CommandRecord, Entry, EntryId, Group, GroupId, Priority,
+    Revision, Service, ServiceId, State,
 };
-pub use tables::settled_table;
-pub use wire::Malformed;
+pub use tables::config_table;
+pub use wire::InvalidState;
 
 use snafu::Snafu;
 
-/// Why a command was refused. Nothing of it was done.
+/// Why a command was rejected. None of it was applied.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Refusal {
     /// The text does not parse.
     #[snafu(display("{source}"))]
     Syntax {
-        /// Where and why.
+        /// Position and reason.
         source: bn_query::Error,
     },
-    /// One statement cannot hold; the first one is named.
+    /// A statement is invalid; the first such one is reported.
     #[snafu(display("statement {position}: {reason}"))]
     Statement {
         /// Position in the command, from 1.
         position: usize,
-        /// What is wrong.
+        /// Why it is invalid.
         reason: String,
     },
-    /// The number was used for another command.
+    /// The number belongs to another command.
     #[snafu(display("number {number} was taken by operator {winner:?} at revision {revision}"))]
-    Taken {
+    NumberTaken {
         /// The number.
         number: u64,
-        /// Whose command has it.
+        /// Operator whose command has it.
         winner: String,
-        /// Where it stands in the log.
+        /// Log index of that command.
         revision: Revision,
     },
-    /// The number is below all that are remembered: whether it ran is unknown.
+    /// The number is below all recorded ones: whether it was applied is unknown.
     #[snafu(display("number {number} is too old to check; use one above {floor}"))]
     TooOld {
         /// The number.
         number: u64,
-        /// The lowest number remembered.
+        /// The lowest recorded number.
         floor: u64,
     },
-    /// What an earlier send of the same command was told.
+    /// The outcome of an earlier submission of the same command.
     #[snafu(display("{reason}"))]
-    Again {
-        /// The first outcome's reason.
+    Replayed {
+        /// Reason of the first rejection.
         reason: String,
     },
 }
--- a/crates/state/src/model.rs
+++ b/crates/state/src/model.rs
@@ -1,11 +1,11 @@
-//! The settled configuration as domain types.
+//! Domain types of the committed configuration.
 
 use bn_group::ExpertMap;
 use indexmap::{IndexMap, IndexSet};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Index in the control log of the last command applied.
+/// Control log index of the last applied command.
 pub type Revision = u64;
 /// Name of a service.
 pub type ServiceId = String;
@@ -18,20 +18,20 @@
 /// Id of a backend server.
 pub type BackendId = String;
 
-/// Urgency of a request; the largest goes first.
+/// Priority of a request; higher ones are served first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub enum Priority {
-    /// May wait.
+    /// Can wait.
     Batch,
-    /// The usual.
+    /// The default.
     #[default]
     Normal,
-    /// Takeovers.
+    /// For takeovers.
     Urgent,
 }
 
 impl Priority {
-    /// From its name.
+    /// Parses its name.
     pub fn parse(text: &str) -> Option<Priority> {
         match text {
             "batch" => Some(Priority::Batch),
@@ -51,16 +51,16 @@
     }
 }
 
-/// A service callers can ask for.
+/// A service that callers can request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Its backend servers are engines; otherwise a plain service.
+    /// Its backend servers are engines; otherwise it is a plain service.
     pub engine: bool,
     /// A request may run more than once unless it carries an idempotency key.
     pub repeatable: bool,
-    /// Worth of a step's skew, for rebalancing.
+    /// Weight of a step's skew in rebalancing.
     pub skew_weight: f64,
-    /// Cost of a move's pause, for rebalancing.
+    /// Weight of a move's pause, as a cost, in rebalancing.
     pub move_weight: f64,
 }
 
@@ -69,12 +69,12 @@
 pub struct Account {
     /// SHA-256 of the bearer key, hexadecimal.
     pub key_hash: String,
-    /// Requests a second over all entries.
+    /// Requests per second over all entries.
     pub rate: f64,
-    /// Weight among accounts of one priority.
+    /// Weight among accounts of the same priority.
     pub share: u32,
-    /// Highest priority it may use.
-    pub top: Priority,
+    /// Highest priority that it may use.
+    pub max_priority: Priority,
 }
 
 /// An entry instance.
@@ -84,52 +84,52 @@
     pub domain: String,
     /// Where callers connect.
     pub callers: SocketAddr,
-    /// Where the system's own messages go.
+    /// Where the system's own messages are sent.
     pub inbox: SocketAddr,
-    /// An operator wants it empty.
+    /// An operator requested that it be drained.
     pub drained: bool,
 }
 
 /// A lock-step group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Group {
-    /// The service it backs.
+    /// The service that it serves.
     pub service: ServiceId,
-    /// Ranks that advance together.
+    /// Number of ranks that advance together.
     pub ranks: u32,
     /// Version of the expert map in force.
     pub map_version: u64,
-    /// First step that runs on it.
+    /// First step that uses this map.
     pub map_step: u64,
-    /// The map.
+    /// The expert map in force.
     pub map: ExpertMap,
-    /// The map that is wanted next, with its version.
-    pub wanted: Option<(u64, ExpertMap)>,
-    /// Latest version handed out; none is used twice.
-    pub versions: u64,
+    /// The map to switch to next, with its version.
+    pub pending: Option<(u64, ExpertMap)>,
+    /// Last version assigned; none is used twice.
+    pub last_version: u64,
     /// Steps below this one may have been granted.
-    pub reserved: u64,
+    pub reserved_until: u64,
 }
 
-/// What became of a numbered command.
+/// Outcome of a numbered command.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Seen {
-    /// Who sent it.
+pub struct CommandRecord {
+    /// Operator that sent it.
     pub operator: String,
     /// The sender's token.
     pub token: String,
     /// Digest of its text.
     pub digest: String,
-    /// Where it stands in the log.
+    /// Its log index.
     pub revision: Revision,
-    /// Why it was refused; `None`: accepted.
+    /// Why it was rejected; `None`: accepted.
     pub refusal: Option<String>,
 }
 
-/// The settled configuration at one revision.
+/// The committed configuration at one revision.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct State {
-    /// Of the last command applied.
+    /// Revision of the last applied command.
     pub revision: Revision,
     /// By name.
     pub services: IndexMap<ServiceId, Service>,
@@ -141,17 +141,17 @@
     pub groups: IndexMap<GroupId, Group>,
     /// Backend servers that get no new work.
     pub drained: IndexSet<BackendId>,
-    /// Commands by number, the largest numbers only.
-    pub seen: BTreeMap<u64, Seen>,
-    /// Members of the control log as operators want them, with their inboxes; the
-    /// leader changes the log's group towards it, one at a time.
+    /// Commands by number, only the highest numbers.
+    pub command_records: BTreeMap<u64, CommandRecord>,
+    /// Members of the control log that operators configured, with their inboxes; the leader
+    /// changes the actual membership towards them, one at a time.
     pub members: IndexMap<String, SocketAddr>,
-    /// Changes with the set of entries, and so with the holders of claims.
+    /// Changes with the set of entries, and therefore with the holders of claims.
     pub claim_epoch: u64,
 }
 
 impl State {
-    /// The account of a key, by the key's hash.
+    /// The account that a key belongs to, by the hash of the key.
     pub fn account_by_hash(&self, hash: &str) -> Option<(&AccountId, &Account)> {
         self.accounts.iter().find(|(_, a)| a.key_hash == hash)
     }
--- a/crates/state/src/tables.rs
+++ b/crates/state/src/tables.rs
@@ -1,10 +1,10 @@
-//! The settled configuration as tables for `show`.
+//! The committed configuration as tables for `show`.
 
 use crate::model::State;
 use bn_query::Table;
 
-/// The table `name` of the settled configuration, if it is one of these.
-pub fn settled_table(state: &State, name: &str) -> Option<Table> {
+/// The table `name` of the committed configuration; `None` if there is no such table.
+pub fn config_table(state: &State, name: &str) -> Option<Table> {
     match name {
         "services" => Some(services(state)),
         "accounts" => Some(accounts(state)),
@@ -43,7 +43,7 @@
             name.clone().into(),
             a.rate.into(),
             f64::from(a.share).into(),
-            a.top.name().into(),
+            a.max_priority.name().into(),
         ]
     }));
     t
@@ -70,7 +70,7 @@
     let mut t = Table::new(&columns);
     t.rows.extend(state.groups.iter().map(|(name, g)| {
         let (layers, experts) = g.map.shape();
-        let wanted = g.wanted.as_ref().map_or(0, |(version, _)| *version);
+        let pending = g.pending.as_ref().map_or(0, |(version, _)| *version);
         vec![
             name.clone().into(),
             g.service.clone().into(),
@@ -79,7 +79,7 @@
             (experts as f64).into(),
             (g.map_version as f64).into(),
             (g.map_step as f64).into(),
-            (wanted as f64).into(),
+            (pending as f64).into(),
         ]
     }));
     t
@@ -94,14 +94,15 @@
 
 fn commands(state: &State) -> Table {
     let mut t = Table::new(&["number", "operator", "revision", "outcome"]);
-    t.rows.extend(state.seen.iter().map(|(number, s)| {
-        let outcome = s.refusal.clone().unwrap_or_else(|| "accepted".into());
-        vec![
-            (*number as f64).into(),
-            s.operator.clone().into(),
-            (s.revision as f64).into(),
-            outcome.into(),
-        ]
-    }));
+    t.rows
+        .extend(state.command_records.iter().map(|(number, c)| {
+            let outcome = c.refusal.clone().unwrap_or_else(|| "accepted".into());
+            vec![
+                (*number as f64).into(),
+                c.operator.clone().into(),
+                (c.revision as f64).into(),
+                outcome.into(),
+            ]
+        }));
     t
 }
--- a/crates/state/src/wire.rs
+++ b/crates/state/src/wire.rs
@@ -1,19 +1,19 @@
-//! Conversions between the domain types and the schema's.
+//! Conversions between the domain types and the wire messages.
 
 use crate::apply::Command;
-use crate::model::{Account, Entry, Group, Priority, Seen, Service, State};
+use crate::model::{Account, CommandRecord, Entry, Group, Priority, Service, State};
 use bn_group::ExpertMap;
 use bn_wire::messages as wire;
 use snafu::Snafu;
 use std::net::SocketAddr;
 
-/// A stored state that holds no address or no map where one is due.
+/// A stored state with an invalid address or expert map.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
-#[snafu(display("the state is malformed"))]
-pub struct Malformed;
+#[snafu(display("stored state has an invalid address or expert map"))]
+pub struct InvalidState;
 
-fn address(text: &str) -> Result<SocketAddr, Malformed> {
-    text.parse().map_err(|_| Malformed)
+fn parse_address(text: &str) -> Result<SocketAddr, InvalidState> {
+    text.parse().map_err(|_| InvalidState)
 }
 
 impl From<&Command> for wire::Command {
@@ -52,50 +52,50 @@
     fn from(s: &State) -> Self {
         wire::State {
             revision: s.revision,
-            services: s.services.iter().map(service_out).collect(),
-            accounts: s.accounts.iter().map(account_out).collect(),
-            entries: s.entries.iter().map(entry_out).collect(),
-            groups: s.groups.iter().map(group_out).collect(),
+            services: s.services.iter().map(service_to_wire).collect(),
+            accounts: s.accounts.iter().map(account_to_wire).collect(),
+            entries: s.entries.iter().map(entry_to_wire).collect(),
+            groups: s.groups.iter().map(group_to_wire).collect(),
             drained: s.drained.iter().cloned().collect(),
-            seen: s.seen.iter().map(seen_out).collect(),
+            seen: s.command_records.iter().map(record_to_wire).collect(),
             claim_epoch: s.claim_epoch,
-            members: s.members.iter().map(wish_out).collect(),
+            members: s.members.iter().map(member_to_wire).collect(),
         }
     }
 }
 
 impl TryFrom<wire::State> for State {
-    type Error = Malformed;
+    type Error = InvalidState;
 
-    fn try_from(s: wire::State) -> Result<Self, Malformed> {
+    fn try_from(s: wire::State) -> Result<Self, InvalidState> {
         let entries = s
             .entries
             .into_iter()
-            .map(entry_in)
+            .map(entry_from_wire)
             .collect::<Result<_, _>>()?;
         Ok(State {
             revision: s.revision,
-            services: s.services.into_iter().map(service_in).collect(),
-            accounts: s.accounts.into_iter().map(account_in).collect(),
+            services: s.services.into_iter().map(service_from_wire).collect(),
+            accounts: s.accounts.into_iter().map(account_from_wire).collect(),
             entries,
             groups: s
                 .groups
                 .into_iter()
-                .map(group_in)
+                .map(group_from_wire)
                 .collect::<Result<_, _>>()?,
             drained: s.drained.into_iter().collect(),
-            seen: s.seen.into_iter().map(seen_in).collect(),
+            command_records: s.seen.into_iter().map(record_from_wire).collect(),
             claim_epoch: s.claim_epoch,
             members: s
                 .members
                 .into_iter()
-                .map(wish_in)
+                .map(member_from_wire)
                 .collect::<Result<_, _>>()?,
         })
     }
 }
 
-fn service_out((name, s): (&String, &Service)) -> wire::Service {
+fn service_to_wire((name, s): (&String, &Service)) -> wire::Service {
     wire::Service {
         name: name.clone(),
         engine: s.engine,
@@ -105,7 +105,7 @@
     }
 }
 
-fn service_in(s: wire::Service) -> (String, Service) {
+fn service_from_wire(s: wire::Service) -> (String, Service) {
     let service = Service {
         engine: s.engine,
         repeatable: s.repeatable,
@@ -115,27 +115,27 @@
     (s.name, service)
 }
 
-fn account_out((name, a): (&String, &Account)) -> wire::Account {
+fn account_to_wire((name, a): (&String, &Account)) -> wire::Account {
     wire::Account {
         name: name.clone(),
         key_hash: a.key_hash.clone(),
         rate: a.rate,
         share: a.share,
-        top: a.top as u32,
+        top: a.max_priority as u32,
     }
 }
 
-fn account_in(a: wire::Account) -> (String, Account) {
+fn account_from_wire(a: wire::Account) -> (String, Account) {
     let account = Account {
         key_hash: a.key_hash,
         rate: a.rate,
         share: a.share,
-        top: a.top.into(),
+        max_priority: a.top.into(),
     };
     (a.name, account)
 }
 
-fn entry_out((name, e): (&String, &Entry)) -> wire::Entry {
+fn entry_to_wire((name, e): (&String, &Entry)) -> wire::Entry {
     wire::Entry {
         name: name.clone(),
         domain: e.domain.clone(),
@@ -145,18 +145,18 @@
     }
 }
 
-fn entry_in(e: wire::Entry) -> Result<(String, Entry), Malformed> {
+fn entry_from_wire(e: wire::Entry) -> Result<(String, Entry), InvalidState> {
     let entry = Entry {
         domain: e.domain,
-        callers: address(&e.callers)?,
-        inbox: address(&e.inbox)?,
+        callers: parse_address(&e.callers)?,
+        inbox: parse_address(&e.inbox)?,
         drained: e.drained,
     };
     Ok((e.name, entry))
 }
 
-fn group_out((name, g): (&String, &Group)) -> wire::Group {
-    let wanted = g.wanted.as_ref();
+fn group_to_wire((name, g): (&String, &Group)) -> wire::Group {
+    let pending = g.pending.as_ref();
     wire::Group {
         name: name.clone(),
         service: g.service.clone(),
@@ -164,61 +164,61 @@
         map_version: g.map_version,
         map_step: g.map_step,
         map: g.map.to_string(),
-        wanted_version: wanted.map_or(0, |(version, _)| *version),
-        wanted_map: wanted.map(|(_, map)| map.to_string()).unwrap_or_default(),
-        versions: g.versions,
-        reserved: g.reserved,
+        wanted_version: pending.map_or(0, |(version, _)| *version),
+        wanted_map: pending.map(|(_, map)| map.to_string()).unwrap_or_default(),
+        versions: g.last_version,
+        reserved: g.reserved_until,
     }
 }
 
-fn group_in(g: wire::Group) -> Result<(String, Group), Malformed> {
-    let read = |text: &str| ExpertMap::parse(text).map_err(|_| Malformed);
-    let wanted = match g.wanted_version {
+fn group_from_wire(g: wire::Group) -> Result<(String, Group), InvalidState> {
+    let parse_map = |text: &str| ExpertMap::parse(text).map_err(|_| InvalidState);
+    let pending = match g.wanted_version {
         0 => None,
-        version => Some((version, read(&g.wanted_map)?)),
+        version => Some((version, parse_map(&g.wanted_map)?)),
     };
     let group = Group {
         service: g.service,
         ranks: g.ranks,
         map_version: g.map_version,
         map_step: g.map_step,
-        map: read(&g.map)?,
-        wanted,
-        versions: g.versions,
-        reserved: g.reserved,
+        map: parse_map(&g.map)?,
+        pending,
+        last_version: g.versions,
+        reserved_until: g.reserved,
     };
     Ok((g.name, group))
 }
 
-fn seen_out((number, s): (&u64, &Seen)) -> wire::Seen {
+fn record_to_wire((number, c): (&u64, &CommandRecord)) -> wire::Seen {
     wire::Seen {
-        operator: s.operator.clone(),
+        operator: c.operator.clone(),
         number: *number,
-        token: s.token.clone(),
-        digest: s.digest.clone(),
-        revision: s.revision,
-        refusal: s.refusal.clone().unwrap_or_default(),
+        token: c.token.clone(),
+        digest: c.digest.clone(),
+        revision: c.revision,
+        refusal: c.refusal.clone().unwrap_or_default(),
     }
 }
 
-fn seen_in(s: wire::Seen) -> (u64, Seen) {
-    let seen = Seen {
+fn record_from_wire(s: wire::Seen) -> (u64, CommandRecord) {
+    let record = CommandRecord {
         operator: s.operator,
         token: s.token,
         digest: s.digest,
         revision: s.revision,
         refusal: (!s.refusal.is_empty()).then_some(s.refusal),
     };
-    (s.number, seen)
+    (s.number, record)
 }
 
-fn wish_out((name, inbox): (&String, &SocketAddr)) -> wire::Wish {
+fn member_to_wire((name, inbox): (&String, &SocketAddr)) -> wire::Wish {
     wire::Wish {
         name: name.clone(),
         inbox: inbox.to_string(),
     }
 }
 
-fn wish_in(w: wire::Wish) -> Result<(String, SocketAddr), Malformed> {
-    Ok((w.name, address(&w.inbox)?))
+fn member_from_wire(w: wire::Wish) -> Result<(String, SocketAddr), InvalidState> {
+    Ok((w.name, parse_address(&w.inbox)?))
 }
--- a/crates/state/tests/commands.rs
+++ b/crates/state/tests/commands.rs
@@ -1,4 +1,4 @@
-//! Numbered commands: whole or not at all, resent, and raced.
+//! Numbered commands: atomic application, resends, and races for a number.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -24,8 +24,8 @@
     state
 }
 
-/// Command, then the position of the statement at fault.
-const WRONG: [(&str, usize); 16] = [
+/// Command, then the position of the invalid statement.
+const INVALID: [(&str, usize); 16] = [
     ("create account b key=k2; create account a key=k3", 2),
     ("create account b key=k", 1),
     ("create account b rate=-1 key=k2", 1),
@@ -44,11 +44,11 @@
     ("create entry e1 domain=d callers=here inbox=127.0.0.1:1", 1),
 ];
 
-/// Symptom: half a command holds. Sequence: a later statement of it is wrong. Cause:
+/// Guards against a command that is applied in part: a later statement of it is invalid, and
 /// statements are applied one by one to the state itself.
 #[gtest]
-fn a_command_holds_whole_or_not_at_all() {
-    for (text, position) in WRONG {
+fn a_command_is_applied_completely_or_not_at_all() {
+    for (text, position) in INVALID {
         let mut state = state();
         let before = state.clone();
 
@@ -65,11 +65,11 @@
     }
 }
 
-/// Symptom: an operator who resends after a lost answer is told "exists already", or
-/// a drain that was lifted meanwhile holds again. Sequence: command, lost answer,
-/// another command, resend. Cause: the resend is run as new.
+/// Guards against a resend that is executed as new: after command, lost answer, another command
+/// and resend, the operator gets "exists already", or a drain that was lifted in the meantime is
+/// in force again.
 #[gtest]
-fn a_resend_gets_the_first_outcome_and_changes_nothing() {
+fn a_resend_returns_the_first_outcome_and_changes_nothing() {
     let mut state = state();
     let drain = command("o", 5, "t", "drain backend n1");
     let first = state.apply(2, &drain);
@@ -84,24 +84,24 @@
 }
 
 #[gtest]
-fn a_resend_of_a_refused_command_is_refused_alike() {
+fn a_resend_of_a_rejected_command_is_rejected_with_the_same_reason() {
     let mut state = state();
-    let wrong = command("o", 5, "t", "drop account b");
-    let first = state.apply(2, &wrong).unwrap_err().to_string();
+    let invalid = command("o", 5, "t", "drop account b");
+    let first = state.apply(2, &invalid).unwrap_err().to_string();
     state
         .apply(3, &command("o", 6, "u", "create account b key=k2"))
         .unwrap();
 
-    let again = state.apply(4, &wrong).unwrap_err().to_string();
+    let again = state.apply(4, &invalid).unwrap_err().to_string();
 
     expect_that!(again, eq(&first));
     expect_true!(state.accounts.contains_key("b"));
 }
 
-/// Symptom: two operators both believe that their command holds. Sequence: both send
-/// under one number. Cause: the number does not decide.
+/// Guards against two operators both assuming that their command was applied: both send under one
+/// number, and the number does not decide between them.
 #[gtest]
-fn a_race_for_a_number_has_one_winner_and_the_loser_learns_who() {
+fn a_race_for_a_number_has_one_winner_that_is_reported_to_the_loser() {
     let mut state = state();
     state
         .apply(2, &command("ana", 5, "t", "drain backend n1"))
@@ -110,7 +110,7 @@
     let loser = state.apply(3, &command("bob", 5, "u", "drain backend n2"));
     let same_text = state.apply(4, &command("bob", 5, "u", "drain backend n1"));
 
-    let taken = Refusal::Taken {
+    let taken = Refusal::NumberTaken {
         number: 5,
         winner: "ana".into(),
         revision: 2,
@@ -121,7 +121,7 @@
 }
 
 #[gtest]
-fn numbers_below_all_remembered_are_refused() {
+fn numbers_below_all_recorded_ones_are_rejected() {
     let mut state = state();
     for i in 0..10_001 {
         let text = format!("create account x{i} key=x{i}; drop account x{i}");
@@ -136,20 +136,20 @@
 }
 
 #[gtest]
-fn the_state_survives_its_wire_form() {
+fn the_state_survives_the_wire_format() {
     let mut state = state();
     let text = "create entry e1 domain=d callers=127.0.0.1:1 inbox=127.0.0.1:2; \
                 create member e1 inbox=127.0.0.1:2; drain backend n1; \
                 switch group g map=1.0.1+0.0";
     state.apply(2, &command("o", 5, "t", text)).unwrap();
 
-    let own =
+    let by_leader =
         "switch group g commit=2 step=9; switch group g reserve=70; switch group g map=0.1.0.1";
     state
-        .apply(3, &command(bn_state::LEADER, 0, "", own))
+        .apply(3, &command(bn_state::LEADER_OPERATOR, 0, "", by_leader))
         .unwrap();
 
-    let back = State::try_from(wire::State::from(&state)).unwrap();
+    let decoded = State::try_from(wire::State::from(&state)).unwrap();
 
-    expect_that!(back, eq(&state));
+    expect_that!(decoded, eq(&state));
 }
