--- a/crates/coordinator/src/announcements.rs
+++ b/crates/coordinator/src/announcements.rs
@@ -57,7 +57,7 @@
             return answered(done.send(false));
         }
         let id = record.id.clone();
-        let change = self.registry.take(now, record);
+        let change = self.registry.merge(now, record);
         self.spread(&id, change, Source::Announced);
         self.untold.once_told(Told::Announced(done));
     }
@@ -102,18 +102,18 @@
         let Some(record) = self.registry.get(id) else {
             return;
         };
-        if record.group == group && record.pace == pace {
+        if record.group == group && record.slowdown == pace {
             return;
         }
         let term = self.quorum.term() << TERM_BITS;
-        let told = (record.told + 1).max(term);
+        let told = (record.rank_version + 1).max(term);
         let record = Record {
             group: group.into(),
-            pace,
-            told,
+            slowdown: pace,
+            rank_version: told,
             ..record.clone()
         };
-        let change = self.registry.take(now, record);
+        let change = self.registry.merge(now, record);
         self.spread(id, change, Source::Rank);
     }
 
@@ -129,7 +129,7 @@
 
     fn on_limit(&mut self, now: Duration, heard: &Limited) {
         let known = self.registry.get(&heard.id);
-        let Some(known) = known.filter(|r| r.began == heard.began) else {
+        let Some(known) = known.filter(|r| r.start_time == heard.began) else {
             return;
         };
         let limit = known.limit.or(heard.limit);
@@ -140,7 +140,7 @@
             limit,
             ..known.clone()
         };
-        let change = self.registry.take(now, record);
+        let change = self.registry.merge(now, record);
         self.spread(&heard.id, change, Source::Limit);
     }
 
@@ -150,7 +150,7 @@
         let limited = limited.filter_map(|r| Some((r, r.limit.rate?)));
         let rows = limited.map(|(r, rate)| {
             json!({
-                "id": r.id, "began": r.began, "service": r.service, "limit": rate,
+                "id": r.id, "began": r.start_time, "service": r.service, "limit": rate,
                 "turn": r.limit.turn,
             })
         });
@@ -159,14 +159,14 @@
 
     /// A backend server is gone for good.
     pub(crate) fn on_leave(&mut self, now: Duration, id: &str, done: oneshot::Sender<()>) {
-        let change = self.registry.leave(now, id);
+        let change = self.registry.record_departure(now, id);
         self.spread(id, change, Source::Left);
         self.untold.once_told(Told::Left(done));
     }
 
     /// Notes what is to be told of a backend server.
     pub(crate) fn spread(&mut self, id: &str, change: Change, source: Source) {
-        let Some(record) = self.registry.get(id).filter(|_| change == Change::News) else {
+        let Some(record) = self.registry.get(id).filter(|_| change == Change::Updated) else {
             return;
         };
         self.lines.put("backend_server", told(record, source));
@@ -178,7 +178,7 @@
     json!({
         "id": record.id, "service": record.service, "address": record.address,
         "condition": format!("{:?}", record.condition), "sequence": record.sequence,
-        "began": record.began, "group": record.group, "pace": record.pace, "source": source.name(),
+        "began": record.start_time, "group": record.group, "pace": record.slowdown, "source": source.name(),
         "limit": record.limit.rate, "turn": record.limit.turn,
     })
 }
--- a/crates/coordinator/src/core.rs
+++ b/crates/coordinator/src/core.rs
@@ -265,7 +265,7 @@
                 answered(done.send(self.pardon(now, digest)));
             }
             Event::Resolve(domain, done) => {
-                answered(done.send(self.directory.named(now).addresses(&domain)));
+                answered(done.send(self.directory.select(now).addresses(&domain)));
             }
             Event::Called(group, call, reply) => self.on_called(now, &group, call, reply),
             Event::Seeds(seeds) => {
--- a/crates/coordinator/src/groups.rs
+++ b/crates/coordinator/src/groups.rs
@@ -56,12 +56,12 @@
             self.muster(now, &service);
             self.steer_service(now, &service, shape);
         }
-        self.groups.mark = self.registry.mark();
+        self.groups.mark = self.registry.cursor();
     }
 
     /// Has engines asked that have not told their group, or may have left it.
     fn muster(&mut self, now: Duration, service: &str) {
-        let mark = self.registry.mark();
+        let mark = self.registry.cursor();
         let known = self.groups.musters.get(service);
         if known.is_some_and(|m| !m.is_due(now)) && self.groups.mark == mark {
             return;
@@ -169,13 +169,16 @@
             return;
         };
         if let Some((engine, name)) = muster.reply(call, reply) {
-            let pace = self.registry.get(&engine).map_or(0, |r| r.pace);
+            let pace = self.registry.get(&engine).map_or(0, |r| r.slowdown);
             self.on_rank(now, &engine, &name, pace);
         }
     }
 
     fn engines_of(&self, service: &str) -> Vec<String> {
-        let latest = self.registry.latest().filter(|r| r.service == service);
+        let latest = self
+            .registry
+            .latest_by_address()
+            .filter(|r| r.service == service);
         let mut ids: Vec<_> = latest.map(|r| r.id.clone()).collect();
         ids.sort_unstable();
         ids
@@ -214,13 +217,13 @@
     }
 }
 
-fn shapes(plan: &bn_settle::Plan) -> IndexMap<String, Shape> {
+fn shapes(plan: &bn_settle::Document) -> IndexMap<String, Shape> {
     let grouped = plan.services().values().filter_map(|s| {
         let experts = s.engine?.experts?;
         let shape = Shape {
             sets: experts.sets,
             experts: experts.experts,
-            places: experts.places,
+            places: experts.placements,
             spare: experts.spare,
             copy: Duration::from_secs_f64(experts.copy_s.clamp(0.0, 60.0)),
         };
--- a/crates/coordinator/src/news.rs
+++ b/crates/coordinator/src/news.rs
@@ -7,7 +7,7 @@
 
 use crate::announcements::Source;
 use crate::core::Core;
-use bn_directory::{Gateway, Named};
+use bn_directory::{Gateway, GatewaySelection};
 use bn_registry::{Condition, Record};
 use bn_wire::messages::envelope::Body;
 use bn_wire::messages::{self as wire, Registration};
@@ -68,7 +68,7 @@
     /// Coordinators and number of gateways, as all news say them until then.
     standing: wire::News,
     /// Gateways that callers are sent to, the same way.
-    named: Named,
+    named: GatewaySelection,
     standing_due: Duration,
 }
 
@@ -122,12 +122,12 @@
         let now = self.now();
         if now >= self.peers.standing_due {
             self.peers.standing_due = now + STANDING;
-            self.peers.named = self.directory.named(now);
+            self.peers.named = self.directory.select(now);
             let others = self.others();
             let all = others.iter().chain([&self.inbox]);
             self.peers.standing = wire::News {
                 coordinators: all.map(ToString::to_string).collect(),
-                gateways: self.directory.count(now) as u32,
+                gateways: self.directory.sharing_count(now) as u32,
                 ..wire::News::default()
             };
         }
@@ -150,7 +150,7 @@
                 rate: ask.rate,
             };
             let stops = !gateway.ready;
-            self.directory.hear(now, inbox, gateway);
+            self.directory.update(now, inbox, gateway);
             if stops {
                 // Callers must not be sent there any more.
                 self.peers.standing_due = now;
@@ -174,22 +174,22 @@
         };
         let changed = match ask.brief {
             true => Vec::new(),
-            false => self.registry.since(mark),
+            false => self.registry.changed_since(mark),
         };
         match (is_gateway, ask.brief) {
             (true, true) => self.subscribers.drop(inbox),
-            (true, false) => self.subscribers.told(inbox, self.registry.mark()),
+            (true, false) => self.subscribers.told(inbox, self.registry.cursor()),
             (false, _) => {}
         }
         let plain = self.plain_news();
-        let named = match is_gateway && ask.named != self.peers.named.mark() {
+        let named = match is_gateway && ask.named != self.peers.named.checksum() {
             true => self.peers.named.gateways(),
             false => &[],
         };
         let news = wire::News {
             document,
             named: named.iter().map(Into::into).collect(),
-            mark: if ask.brief { 0 } else { self.registry.mark() },
+            mark: if ask.brief { 0 } else { self.registry.cursor() },
             after: mark,
             changed: changed.iter().map(Registration::from).collect(),
             cases: self.cases.told_since(known, is_gateway),
@@ -230,7 +230,7 @@
             };
             let id = record.id.clone();
             let gone = record.condition == Condition::Gone;
-            let change = self.registry.take(now, record);
+            let change = self.registry.merge(now, record);
             // Departures go on at once: the coordinator that was told of it may be cut
             // off from gateways that this one reaches.
             if gone {
@@ -265,13 +265,13 @@
             };
             self.net.send(inbox, Body::NewsAsk(ask));
         }
-        for gone in self.directory.forget(now) {
+        for gone in self.directory.evict_expired(now) {
             self.net.forget(gone);
             self.peers.lag.clear(gone);
             self.subscribers.drop(gone);
             self.lines.put("gateway_lost", json!({ "inbox": gone }));
         }
-        let forgotten = self.registry.forget(now);
+        let forgotten = self.registry.evict_expired(now);
         if forgotten > 0 {
             self.lines
                 .put("backend_servers_forgotten", json!({ "count": forgotten }));
--- a/crates/coordinator/src/ring.rs
+++ b/crates/coordinator/src/ring.rs
@@ -7,7 +7,7 @@
 //! the second no more is taken at once than a heartbeat may be late.
 
 use bn_group::pilot::Reply;
-use bn_settle::Plan;
+use bn_settle::Document;
 use bn_wire::messages::Envelope;
 use bn_wire::messages::envelope::Body;
 use crossbeam::channel::{Receiver, Select, Sender, bounded};
@@ -34,7 +34,7 @@
     /// A backend server left.
     Leave(String, oneshot::Sender<()>),
     /// An operator's checked document.
-    Settle(Box<Plan>, Vec<u8>, oneshot::Sender<bool>),
+    Settle(Box<Document>, Vec<u8>, oneshot::Sender<bool>),
     /// An operator reads the document in force; answered with none where unsure.
     Read(oneshot::Sender<Option<Vec<u8>>>),
     /// An operator asks which requests are refused; answered as JSON.
--- a/crates/coordinator/src/settling.rs
+++ b/crates/coordinator/src/settling.rs
@@ -4,7 +4,7 @@
 use crate::core::{Core, answered};
 use crate::settled::{Settled, encode};
 use bn_quorum::Role;
-use bn_settle::Plan;
+use bn_settle::Document;
 use bn_wire::messages::envelope::Body;
 use bn_wire::messages::{self as wire};
 use indexmap::IndexSet;
@@ -45,7 +45,7 @@
     pub(crate) fn on_settle(
         &mut self,
         now: Duration,
-        plan: &Plan,
+        plan: &Document,
         document: Vec<u8>,
         done: oneshot::Sender<bool>,
     ) {
--- a/crates/coordinator/src/subscribers.rs
+++ b/crates/coordinator/src/subscribers.rs
@@ -3,7 +3,7 @@
 //! If every coordinator told every gateway, a change would reach each gateway as often as there are
 //! coordinators, and a start of all would have all registrations sent that often.
 
-use bn_registry::Mark;
+use bn_registry::Cursor;
 use indexmap::IndexMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,13 +15,13 @@
 /// All gateways that asked for registrations last time.
 #[derive(Debug, Clone, Default)]
 pub struct Subscribers {
-    told: IndexMap<SocketAddr, Mark>,
+    told: IndexMap<SocketAddr, Cursor>,
     due: Duration,
 }
 
 impl Subscribers {
     /// A gateway asked for registrations and is told of them up to there.
-    pub fn told(&mut self, gateway: SocketAddr, mark: Mark) {
+    pub fn told(&mut self, gateway: SocketAddr, mark: Cursor) {
         self.told.insert(gateway, mark);
     }
 
@@ -40,10 +40,10 @@
     pub fn behind(
         &mut self,
         now: Duration,
-        mark: Mark,
+        mark: Cursor,
         urgent: bool,
-    ) -> IndexMap<Mark, Vec<SocketAddr>> {
-        let mut behind: IndexMap<Mark, Vec<SocketAddr>> = IndexMap::new();
+    ) -> IndexMap<Cursor, Vec<SocketAddr>> {
+        let mut behind: IndexMap<Cursor, Vec<SocketAddr>> = IndexMap::new();
         if now < self.due && !urgent {
             return behind;
         }
--- a/crates/coordinator/src/tell.rs
+++ b/crates/coordinator/src/tell.rs
@@ -100,9 +100,9 @@
     }
 
     fn tell_subscribers(&mut self, now: Duration, urgent: bool) {
-        let mark = self.registry.mark();
+        let mark = self.registry.cursor();
         for (after, inboxes) in self.subscribers.behind(now, mark, urgent) {
-            let changed = self.registry.since(after);
+            let changed = self.registry.changed_since(after);
             let changed = changed.iter().map(Registration::from).collect();
             let news = wire::News {
                 mark,
--- a/crates/directory/src/lib.rs
+++ b/crates/directory/src/lib.rs
@@ -1,19 +1,20 @@
-//! Which gateways callers may be sent to.
+//! Selection of the gateways that callers are sent to.
 //!
-//! Coordinators hear of all gateways and choose ([`Directory`]); gateways follow their choice
-//! ([`Named`]) and answer callers. Callers look every few seconds: answered by the few coordinators, a
-//! failure domain whose coordinators are away costs each of its callers a second a look, and the looks
-//! of a large fleet take a good part of a coordinator's time. Gateways are many in each domain, and a
-//! caller that finds one away needs another one anyway.
+//! Coordinators know all gateways and select some ([`Directory`]); gateways receive the selection
+//! ([`GatewaySelection`]) and answer callers. Callers poll every few seconds. If the few
+//! coordinators answered them, a failure domain whose coordinators are absent would cost each of
+//! its callers a second per poll, and the polls of a large fleet would take a good part of a
+//! coordinator's time. There are many gateways in each domain, and a caller that finds one absent
+//! needs another one anyway.
 
 mod directory;
-mod named;
+mod selection;
 
 pub use directory::{Directory, Gateway};
-pub use named::{Mark, Named, NamedGateway};
+pub use selection::{Checksum, GatewaySelection, SelectedGateway};
 
 use std::time::Duration;
 
-/// How long callers may keep an answer. Gateways that stop leave the answers at once and serve on for
-/// longer than this; some callers keep answers three times as long.
+/// How long callers may cache an answer. Gateways that stop are removed from answers at once and
+/// keep serving for longer than this; some callers cache answers three times as long.
 pub const ANSWER_TTL: Duration = Duration::from_secs(2);
--- a/crates/fake/src/register.rs
+++ b/crates/fake/src/register.rs
@@ -14,7 +14,7 @@
     let began = SystemTime::now().duration_since(UNIX_EPOCH);
     let mut record = Record {
         id: fake.name.clone(),
-        began: began.unwrap_or_default().as_millis() as u64,
+        start_time: began.unwrap_or_default().as_millis() as u64,
         service: fake.service.clone(),
         address: Some(fake.listen),
         domain: String::new(),
@@ -22,8 +22,8 @@
         condition: Condition::Ready,
         sequence: 0,
         group: String::new(),
-        pace: 0,
-        told: 0,
+        slowdown: 0,
+        rank_version: 0,
         limit: Limit::default(),
     };
     let url = format!("http://{control}{}", call::announcing(&fake.name));
--- a/crates/fleet/src/coordinator.rs
+++ b/crates/fleet/src/coordinator.rs
@@ -3,7 +3,7 @@
 use crate::tally::Tally;
 use bn_coordinator::Subscribers;
 use bn_gateway::{Position, Telling};
-use bn_registry::{Mark, Record, Registry};
+use bn_registry::{Cursor, Record, Registry};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -45,25 +45,25 @@
 
     /// A backend server announces itself here.
     pub(crate) fn announce(&mut self, now: Duration, record: Record) {
-        self.registry.take(now, record.clone());
+        self.registry.merge(now, record.clone());
         self.untold.push(record);
     }
 
     /// Another coordinator tells.
     pub(crate) fn take(&mut self, now: Duration, records: &[Record]) {
         for record in records {
-            self.registry.take(now, record.clone());
+            self.registry.merge(now, record.clone());
         }
     }
 
     /// What subscribers are to be told now.
     pub(crate) fn push(&mut self, now: Duration) -> Vec<Push> {
-        let mark = self.registry.mark();
+        let mark = self.registry.cursor();
         let behind = self.subscribers.behind(now, mark, false);
-        let push = |(after, inboxes): (Mark, Vec<SocketAddr>)| Push {
+        let push = |(after, inboxes): (Cursor, Vec<SocketAddr>)| Push {
             inboxes,
             telling: self.telling(after, mark),
-            changed: self.registry.since(after).into(),
+            changed: self.registry.changed_since(after).into(),
         };
         behind.into_iter().map(push).collect()
     }
@@ -72,7 +72,7 @@
     pub(crate) fn tell_others(&mut self, now: Duration) -> Option<Rc<[Record]>> {
         let in_turn = |gap: Duration| now.as_millis().is_multiple_of(gap.as_millis());
         if in_turn(REPAIR) {
-            self.untold = self.registry.since(0);
+            self.untold = self.registry.changed_since(0);
         }
         let due = in_turn(AMONG) && !self.untold.is_empty();
         due.then(|| std::mem::take(&mut self.untold).into())
@@ -93,13 +93,13 @@
             true => position.mark,
             false => 0,
         };
-        let mark = self.registry.mark();
+        let mark = self.registry.cursor();
         self.subscribers.told(gateway, mark);
-        let changed = self.registry.since(known);
+        let changed = self.registry.changed_since(known);
         (self.telling(known, mark), changed.into())
     }
 
-    fn telling(&self, after: Mark, mark: Mark) -> Telling {
+    fn telling(&self, after: Cursor, mark: Cursor) -> Telling {
         Telling {
             incarnation: self.incarnation,
             mark,
--- a/crates/fleet/src/world.rs
+++ b/crates/fleet/src/world.rs
@@ -302,7 +302,7 @@
 fn record(number: usize) -> Record {
     Record {
         id: format!("server-{number:08}"),
-        began: 1,
+        start_time: 1,
         service: "service".into(),
         address: Some(([10, 2, (number >> 8) as u8, number as u8], 8_000).into()),
         domain: "domain-1".into(),
@@ -310,8 +310,8 @@
         condition: Condition::Ready,
         sequence: 1,
         group: "group-1".into(),
-        pace: 0,
-        told: 1 << 32,
+        slowdown: 0,
+        rank_version: 1 << 32,
         limit: Limit::default(),
     }
 }
--- a/crates/gateway/src/asked.rs
+++ b/crates/gateway/src/asked.rs
@@ -70,7 +70,7 @@
         shared.lines.put(
             "backend_server_limit",
             json!({
-                "id": record.id, "began": record.began, "limit": record.limit.rate,
+                "id": record.id, "began": record.start_time, "limit": record.limit.rate,
                 "turn": record.limit.turn, "gap_ms": gap.map(millis), "source": source,
             }),
         );
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -8,7 +8,7 @@
 use crate::sources::{Sources, Telling};
 use crate::suspects::Report;
 use bn_backpressure::Share;
-use bn_directory::{Named, NamedGateway};
+use bn_directory::{GatewaySelection, SelectedGateway};
 use bn_net::{Net, Usage};
 use bn_quarantine::{Digest, Told};
 use bn_registry::{Condition, Record};
@@ -184,7 +184,7 @@
             cases: position.cases,
             unheard: position.unheard,
             rate: self.rate.note(self.shared.now(), self.shared.taken()),
-            named: self.shared.state().named.mark(),
+            named: self.shared.state().named.checksum(),
             brief: position.brief,
         };
         self.net.send(inbox, Body::NewsAsk(ask));
@@ -271,11 +271,12 @@
         if named.is_empty() {
             return;
         }
-        let named: Result<Vec<_>, _> = named.into_iter().map(NamedGateway::try_from).collect();
+        let named: Result<Vec<_>, _> = named.into_iter().map(SelectedGateway::try_from).collect();
         match named {
             Ok(named) => {
-                let named = Named::new(named);
-                let fields = json!({ "gateways": named.gateways().len(), "mark": named.mark() });
+                let named = GatewaySelection::new(named);
+                let fields =
+                    json!({ "gateways": named.gateways().len(), "mark": named.checksum() });
                 self.shared.lines.put("gateways_named", fields);
                 let share = Share {
                     own: Some(self.callers),
@@ -293,10 +294,11 @@
     /// `source` is the coordinator that tells it.
     fn register(&mut self, record: Record, source: SocketAddr) {
         let known = self.registered.get(&record.id);
-        let Some(record) = known.map_or(Some(record.clone()), |held| record.over(held)) else {
+        let Some(record) = known.map_or(Some(record.clone()), |held| record.merged_over(held))
+        else {
             return;
         };
-        let again = known.is_some_and(|held| held.began != record.began);
+        let again = known.is_some_and(|held| held.start_time != record.start_time);
         if again || known.is_none() {
             self.note_ends(&record);
         }
@@ -311,10 +313,10 @@
             (condition, Some(address)) => {
                 let (id, service) = (&record.id, &record.service);
                 let mut server = Server::new(id, service, address, &record.domain, record.slots);
-                server.began = record.began;
+                server.began = record.start_time;
                 server.join(&record.group);
                 server.leaving = condition == Condition::Draining;
-                server.pace = f64::from(record.pace.max(SOUND)) / f64::from(SOUND);
+                server.pace = f64::from(record.slowdown.max(SOUND)) / f64::from(SOUND);
                 state.fleet.put(server);
             }
         }
@@ -327,7 +329,7 @@
         let fields = json!({
             "id": record.id, "service": record.service, "address": record.address,
             "condition": format!("{:?}", record.condition), "sequence": record.sequence,
-            "began": record.began, "group": record.group, "pace": record.pace,
+            "began": record.start_time, "group": record.group, "pace": record.slowdown,
             "limit": record.limit.rate, "turn": record.limit.turn,
         });
         self.shared.lines.put("backend_server", fields);
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -2,12 +2,12 @@
 //! across a wait.
 
 use crate::suspects::Report;
-use bn_directory::Named;
+use bn_directory::GatewaySelection;
 use bn_limit::Queue;
 use bn_quarantine::{Table, Watch};
 use bn_route::{Allowance, Bounds, Fleet, Pace, Patience, Retries, Server, Unit};
 use bn_serve::client::Pool;
-use bn_settle::Plan;
+use bn_settle::Document;
 use bn_trace::Lines;
 use indexmap::IndexMap;
 use serde_json::json;
@@ -48,7 +48,7 @@
 /// What is believed and counted.
 pub(crate) struct State {
     /// The document in force; none until a coordinator told it.
-    pub(crate) plan: Option<Arc<Plan>>,
+    pub(crate) plan: Option<Arc<Document>>,
     pub(crate) fleet: Fleet,
     pub(crate) retries: IndexMap<String, Retries>,
     /// Requests that wait for a place, by service.
@@ -62,7 +62,7 @@
     /// Gateways that share the retry budget.
     pub(crate) gateways: u32,
     /// Gateways that callers are sent to.
-    pub(crate) named: Named,
+    pub(crate) named: GatewaySelection,
     /// Requests under which backend servers ended, as coordinators tell them.
     pub(crate) cases: Table,
     /// Runs that were lost here.
@@ -103,7 +103,7 @@
             room_line_due: Duration::ZERO,
             patience: Patience::default(),
             gateways: 1,
-            named: Named::default(),
+            named: GatewaySelection::default(),
             cases: Table::default(),
             watch: Watch::default(),
         };
@@ -133,12 +133,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn plan(&self) -> Option<Arc<Plan>> {
+    pub(crate) fn plan(&self) -> Option<Arc<Document>> {
         self.state().plan.clone()
     }
 
     /// The document in force; waits for the first one until then.
-    pub(crate) async fn plan_by(&self, until: Duration) -> Option<Arc<Plan>> {
+    pub(crate) async fn plan_by(&self, until: Duration) -> Option<Arc<Document>> {
         loop {
             let plan = self.plan();
             if plan.is_some() || self.now() >= until {
@@ -189,7 +189,7 @@
         let bounds = Bounds {
             limit,
             idle: engine.map_or(Duration::ZERO, |e| {
-                e.idle_pass().mul_f64(fleet.slowest(unit))
+                e.unloaded_pass().mul_f64(fleet.slowest(unit))
             }),
         };
         let judged = pace.saw(now, pause, bounds, || fleet.mean_load(now, unit));
--- a/crates/gateway/src/ticket.rs
+++ b/crates/gateway/src/ticket.rs
@@ -3,7 +3,7 @@
 
 use bn_platform::header;
 use bn_quarantine::Digest;
-use bn_settle::{AccountId, Kind, Plan, Route};
+use bn_settle::{AccountId, Document, Kind, Route};
 use hyper::body::Bytes;
 use hyper::header::{HOST, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::request::Parts;
@@ -58,7 +58,7 @@
     /// argument, for routes that are split.
     pub(crate) fn new(
         now: Duration,
-        plan: Option<&Plan>,
+        plan: Option<&Document>,
         parts: Parts,
         draw: impl FnOnce(u64) -> u64,
     ) -> Result<Ticket, Denial> {
@@ -66,10 +66,10 @@
         let host = host(&parts).unwrap_or_default();
         let route = plan.route(host, parts.uri.path()).ok_or(Denial::Route)?;
         let account = key(&parts.headers).and_then(|k| plan.account(k));
-        if plan.keyed() && !route.open && account.is_none() {
+        if plan.requires_key() && !route.open && account.is_none() {
             return Err(Denial::Key);
         }
-        let service = route.part(draw(route.weight_sum()));
+        let service = route.pick_service(draw(route.total_weight()));
         let deadline = deadline(&parts.headers);
         Ok(Ticket {
             id: text(&parts.headers, header::ATTEMPT)
--- a/crates/registry/src/table.rs
+++ b/crates/registry/src/table.rs
@@ -1,4 +1,4 @@
-//! The table and its rules of merging.
+//! The table of backend servers and its merge rules.
 
 use bn_backpressure::Limit;
 use indexmap::IndexMap;
@@ -6,33 +6,34 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Id of a backend server. It may start again under the id that it had.
+/// Id of a backend server; a restart may reuse it.
 pub type BackendId = String;
-/// Unix milliseconds at which a backend server started; 0 where it does not tell. Orders its
+/// Unix milliseconds at which a backend server started; 0 if it does not report it. Orders its
 /// starts, however much later an announcement of an earlier one arrives.
-pub type Began = u64;
-/// Number of an announcement within one start; later ones are higher.
+pub type StartTime = u64;
+/// Number of an announcement within one start; increases with each one.
 pub type Sequence = u64;
-/// Number of what a leader told of a rank; later ones are higher, over changes of leader too.
-pub type Telling = u64;
-/// Position in a table's changes, by which others ask for what is new.
-pub type Mark = u64;
-
-/// How long a departed start is remembered. Far above the time for which a cut may hold an
-/// announcement back (tens of seconds), and bounded so that the table does not grow.
-const REMEMBERED: Duration = Duration::from_secs(600);
-/// A backend server that nobody has heard of for this long is dropped: 50 times the
-/// usual gap between announcements. Until then each entry judges by its own requests.
-const FORGOTTEN: Duration = Duration::from_secs(60);
-
-/// What a backend server says of itself.
+/// Version of a rank's group and slowdown as set by a leader; increases with each update, across
+/// leader changes too.
+pub type RankVersion = u64;
+/// Position in the table's sequence of changes, from which other processes request updates.
+pub type Cursor = u64;
+
+/// How long a departed start is remembered. Far longer than a network partition may delay an
+/// announcement (tens of seconds), and bounded so that the table does not grow.
+const DEPARTED_RETENTION: Duration = Duration::from_secs(600);
+/// A backend server without contact for this long is evicted: 50 times the usual interval between
+/// announcements. Until then each entry judges it by its own requests.
+const CONTACT_TIMEOUT: Duration = Duration::from_secs(60);
+
+/// Condition that a backend server reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Condition {
-    /// It takes new work.
+    /// Accepts new work.
     Ready,
-    /// It leaves soon and takes no new work.
+    /// Departs soon and accepts no new work.
     Draining,
-    /// This start of it has left, for good.
+    /// This start has departed for good.
     Gone,
 }
 
@@ -41,77 +42,76 @@
 pub struct Record {
     /// Its id.
     pub id: BackendId,
-    /// The start that this speaks of.
-    pub began: Began,
-    /// Service it belongs to; empty where only its departure is known.
+    /// The start that this record describes.
+    pub start_time: StartTime,
+    /// Service it belongs to; empty if only its departure is known.
     pub service: String,
-    /// Where it takes requests; none where only its departure is known.
+    /// Where it accepts requests; `None` if only its departure is known.
     pub address: Option<SocketAddr>,
     /// Failure domain.
     pub domain: String,
-    /// Requests that it runs at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// What it says of itself.
+    /// Condition that it reports.
     pub condition: Condition,
     /// Number of its latest announcement.
     pub sequence: Sequence,
-    /// Lock-step group that it is a rank of, as it told the coordinator that leads; empty where
-    /// none is known. It comes apart from announcements, so these don't take it away.
+    /// Lock-step group that it is a rank of, as it reported to the leading coordinator; empty if
+    /// none is known. It arrives separately from announcements, so these do not clear it.
     pub group: String,
-    /// Time that it takes for the same work, in hundredths of a sound one's; 0 where it is sound, or
-    /// that is not known. It comes as the group does.
-    pub pace: u32,
-    /// Number of what a leader told of group and pace. Without an order two processes that hear
-    /// the older and the newer from each other would exchange them for ever.
-    pub told: Telling,
-    /// Requests a second that it takes from all gateways together, as gateways heard it.
+    /// Time that it takes for the same work, in hundredths of a healthy rank's; 0 if it is healthy
+    /// or this is not known. It arrives in the same way as the group.
+    pub slowdown: u32,
+    /// Version of group and slowdown. Without an order, two processes that hold an older and a
+    /// newer value would exchange them forever.
+    pub rank_version: RankVersion,
+    /// Requests per second that it accepts from all gateways together, as gateways received it.
     pub limit: Limit,
 }
 
-/// What taking a record in did.
+/// Effect of merging a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// Something that decisions depend on is different: others must be told.
-    News,
-    /// Only the sequence went on.
-    Fresh,
-    /// It was older than what is known.
+    /// Something that decisions depend on changed: other processes must be notified.
+    Updated,
+    /// Only the sequence number advanced.
+    Refreshed,
+    /// The record was older than what is known.
     Stale,
 }
 
 #[derive(Debug, Clone)]
 struct Row {
     record: Record,
-    /// Change at which it last became news.
-    mark: Mark,
-    heard: Duration,
+    /// Change at which it was last [`Change::Updated`].
+    cursor: Cursor,
+    last_contact: Duration,
 }
 
 /// The table of one process.
 #[derive(Debug, Clone, Default)]
 pub struct Registry {
     rows: IndexMap<BackendId, Row>,
-    mark: Mark,
+    cursor: Cursor,
 }
 
 impl Record {
-    /// What holds of a backend server of which `held` is known, once this has come too; none
-    /// where it brings nothing.
-    pub fn over(&self, held: &Record) -> Option<Record> {
-        let newer = follows(held, self);
-        let same_start = self.began == held.began;
-        let retold = same_start && self.told > held.told;
+    /// Merges this record over `held`, the one known so far; `None` if it adds nothing.
+    pub fn merged_over(&self, held: &Record) -> Option<Record> {
+        let newer = supersedes(held, self);
+        let same_start = self.start_time == held.start_time;
+        let rank_updated = same_start && self.rank_version > held.rank_version;
         let limit = held.limit.or(self.limit);
-        let limited = same_start && limit != held.limit;
-        if !newer && !retold && !limited {
+        let limit_changed = same_start && limit != held.limit;
+        if !newer && !rank_updated && !limit_changed {
             return None;
         }
         let mut record = if newer { self.clone() } else { held.clone() };
         if same_start {
-            let teller = if retold { self } else { held };
-            record.group.clone_from(&teller.group);
-            record.pace = teller.pace;
-            record.told = teller.told;
+            let latest = if rank_updated { self } else { held };
+            record.group.clone_from(&latest.group);
+            record.slowdown = latest.slowdown;
+            record.rank_version = latest.rank_version;
             record.limit = limit;
         }
         Some(record)
@@ -119,48 +119,49 @@
 }
 
 impl Registry {
-    /// Takes a record in, whether announced or told by another process.
-    pub fn take(&mut self, now: Duration, record: Record) -> Change {
-        let later = |r: &Row| record.began > r.record.began;
+    /// Merges a record, whether announced or received from another process.
+    pub fn merge(&mut self, now: Duration, record: Record) -> Change {
+        let later = |r: &Row| record.start_time > r.record.start_time;
         if self.rows.get(&record.id).is_some_and(later) {
-            // Nothing of the earlier start holds, nor its place among those heard of.
+            // Nothing of the earlier start remains valid, including its position in the order
+            // of first contact.
             self.rows.shift_remove(&record.id);
         }
         let Some(row) = self.rows.get_mut(&record.id) else {
-            self.mark += 1;
-            let (id, mark) = (record.id.clone(), self.mark);
+            self.cursor += 1;
+            let (id, cursor) = (record.id.clone(), self.cursor);
             let row = Row {
                 record,
-                mark,
-                heard: now,
+                cursor,
+                last_contact: now,
             };
             self.rows.insert(id, row);
-            return Change::News;
+            return Change::Updated;
         };
-        let Some(record) = record.over(&row.record) else {
+        let Some(record) = record.merged_over(&row.record) else {
             return Change::Stale;
         };
-        row.heard = now;
+        row.last_contact = now;
         let same = Record {
             sequence: row.record.sequence,
-            told: row.record.told,
+            rank_version: row.record.rank_version,
             ..record.clone()
         } == row.record;
         row.record = record;
         if same {
-            return Change::Fresh;
+            return Change::Refreshed;
         }
-        self.mark += 1;
-        row.mark = self.mark;
-        Change::News
+        self.cursor += 1;
+        row.cursor = self.cursor;
+        Change::Updated
     }
 
-    /// Notes a departure of the start that is known; the rest of the record stays as it was.
-    pub fn leave(&mut self, now: Duration, id: &str) -> Change {
+    /// Records the departure of the known start; the rest of the record is unchanged.
+    pub fn record_departure(&mut self, now: Duration, id: &str) -> Change {
         let known = self.rows.get(id).map(|r| r.record.clone());
         let record = known.unwrap_or_else(|| Record {
             id: id.into(),
-            began: 0,
+            start_time: 0,
             service: String::new(),
             address: None,
             domain: String::new(),
@@ -168,25 +169,25 @@
             condition: Condition::Gone,
             sequence: 0,
             group: String::new(),
-            pace: 0,
-            told: 0,
+            slowdown: 0,
+            rank_version: 0,
             limit: Limit::default(),
         });
         let gone = Record {
             condition: Condition::Gone,
             ..record
         };
-        self.take(now, gone)
+        self.merge(now, gone)
     }
 
     /// Latest change.
-    pub fn mark(&self) -> Mark {
-        self.mark
+    pub fn cursor(&self) -> Cursor {
+        self.cursor
     }
 
-    /// Records that became news after `mark`.
-    pub fn since(&self, mark: Mark) -> Vec<Record> {
-        let newer = self.rows.values().filter(|r| r.mark > mark);
+    /// Records updated after `cursor`.
+    pub fn changed_since(&self, cursor: Cursor) -> Vec<Record> {
+        let newer = self.rows.values().filter(|r| r.cursor > cursor);
         newer.map(|r| r.record.clone()).collect()
     }
 
@@ -201,10 +202,11 @@
         records.filter(|r| r.condition != Condition::Gone)
     }
 
-    /// Of the records that have not departed, the one heard of first last at each address.
-    /// One that crashed says nothing of it: its record stays beside that of its successor
-    /// at the same address, which answers for both where it does not check who is meant.
-    pub fn latest(&self) -> impl Iterator<Item = &Record> {
+    /// Of the records that have not departed, the one with the latest first contact at each
+    /// address. A backend server that crashes announces no departure: its record remains beside
+    /// that of its successor at the same address, which answers for both if it does not check
+    /// the id that a request is meant for.
+    pub fn latest_by_address(&self) -> impl Iterator<Item = &Record> {
         let mut by_address: IndexMap<_, &Record> = IndexMap::new();
         for record in self.present() {
             by_address.insert(record.address, record);
@@ -212,26 +214,30 @@
         by_address.into_values()
     }
 
-    /// Drops what is too old to matter; returns how many.
-    pub fn forget(&mut self, now: Duration) -> usize {
+    /// Evicts expired records; returns how many.
+    pub fn evict_expired(&mut self, now: Duration) -> usize {
         let before = self.rows.len();
         self.rows.retain(|_, r| {
-            let kept = match r.record.condition {
-                Condition::Gone => REMEMBERED,
-                _ => FORGOTTEN,
+            let retention = match r.record.condition {
+                Condition::Gone => DEPARTED_RETENTION,
+                _ => CONTACT_TIMEOUT,
             };
-            now.saturating_sub(r.heard) < kept
+            now.saturating_sub(r.last_contact) < retention
         });
         before - self.rows.len()
     }
 }
 
-/// `next` may replace `held`: a later start always does, an earlier one never. Within a start
-/// departures are final, else the higher sequence counts; sequences begin anew with each
-/// start. An announcement never goes back from draining to ready by being late, since its
-/// sequence is lower.
-fn follows(held: &Record, next: &Record) -> bool {
-    match (next.began.cmp(&held.began), held.condition, next.condition) {
+/// Whether `next` replaces `held`: a later start always does, an earlier one never. Within a start
+/// departures are final, otherwise the higher sequence number wins; numbering restarts with each
+/// start. A late announcement cannot change draining back to ready, since its sequence number
+/// is lower.
+fn supersedes(held: &Record, next: &Record) -> bool {
+    match (
+        next.start_time.cmp(&held.start_time),
+        held.condition,
+        next.condition,
+    ) {
         (Ordering::Greater, ..) => true,
         (Ordering::Less, ..) => false,
         (Ordering::Equal, Condition::Gone, _) => false,
--- a/crates/registry/src/wire.rs
+++ b/crates/registry/src/wire.rs
@@ -1,14 +1,14 @@
-//! Conversions between records and the schema's type.
+//! Conversions between [`Record`] and the wire message `Registration`.
 
 use crate::table::{Condition, Record};
 use bn_backpressure::Limit;
 use bn_wire::messages as wire;
 use snafu::{OptionExt, Snafu};
 
-/// A record of the schema whose address or limit does not parse.
+/// The address or limit of a `Registration` message does not parse.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
-#[snafu(display("the registration has no usable address or limit"))]
-pub struct Incomplete;
+#[snafu(display("registration has an invalid address or limit"))]
+pub struct InvalidRegistration;
 
 impl From<&Record> for wire::Registration {
     fn from(r: &Record) -> Self {
@@ -24,10 +24,10 @@
                 Condition::Gone => 2,
             },
             sequence: r.sequence,
-            began: r.began,
+            began: r.start_time,
             group: r.group.clone(),
-            pace: r.pace,
-            told: r.told,
+            pace: r.slowdown,
+            told: r.rank_version,
             limit: r.limit.rate,
             limit_turn: r.limit.turn,
         }
@@ -35,9 +35,9 @@
 }
 
 impl TryFrom<wire::Registration> for Record {
-    type Error = Incomplete;
+    type Error = InvalidRegistration;
 
-    fn try_from(r: wire::Registration) -> Result<Self, Incomplete> {
+    fn try_from(r: wire::Registration) -> Result<Self, InvalidRegistration> {
         let condition = match r.condition {
             0 => Condition::Ready,
             1 => Condition::Draining,
@@ -45,17 +45,17 @@
         };
         let address = match r.address.as_str() {
             "" => None,
-            text => Some(text.parse().ok().context(IncompleteSnafu)?),
+            text => Some(text.parse().ok().context(InvalidRegistrationSnafu)?),
         };
         Ok(Record {
             id: r.id,
-            began: r.began,
+            start_time: r.began,
             group: r.group,
-            pace: r.pace,
-            told: r.told,
+            slowdown: r.pace,
+            rank_version: r.told,
             limit: Limit::read(r.limit, r.limit_turn)
                 .ok()
-                .context(IncompleteSnafu)?,
+                .context(InvalidRegistrationSnafu)?,
             service: r.service,
             address,
             domain: r.domain,
--- a/crates/settle/src/check.rs
+++ b/crates/settle/src/check.rs
@@ -1,58 +1,64 @@
-//! What a document must hold as a whole, and the indexes that fall out of checking it.
+//! Validation of a document as a whole, and the indexes built in the process.
 
-use crate::plan::{Account, Route, Service, ServiceId};
+use crate::document::{Account, Route, Service, ServiceId};
 use crate::{
-    NoTimeoutSnafu, NoWeightSnafu, Result, SamePlaceSnafu, SharedKeySnafu, UnknownServiceSnafu,
+    DuplicateKeySnafu, DuplicateRouteSnafu, Result, UnknownServiceSnafu, ZeroTimeoutSnafu,
+    ZeroWeightSnafu,
 };
 use indexmap::IndexMap;
 use snafu::ensure;
 
-/// Each route names known services, has a weight and a timeout.
+/// Requires known services, a weight and a timeout of each route.
 pub(crate) fn routes(routes: &[Route], services: &IndexMap<ServiceId, Service>) -> Result<()> {
     for route in routes {
-        for part in &route.parts {
-            let known = services.contains_key(&part.service);
-            let (route, service) = (&route.name, &part.service);
+        for weighted in &route.services {
+            let known = services.contains_key(&weighted.service);
+            let (route, service) = (&route.name, &weighted.service);
             ensure!(known, UnknownServiceSnafu { route, service });
         }
         let route_name = &route.name;
-        ensure!(route.weight_sum() > 0, NoWeightSnafu { route: route_name });
+        ensure!(
+            route.total_weight() > 0,
+            ZeroWeightSnafu { route: route_name }
+        );
         ensure!(
             !route.timeout.is_zero(),
-            NoTimeoutSnafu { route: route_name }
+            ZeroTimeoutSnafu { route: route_name }
         );
     }
     Ok(())
 }
 
-/// Route positions by host and prefix; no place is taken twice.
-pub(crate) fn places(routes: &[Route]) -> Result<IndexMap<String, IndexMap<String, usize>>> {
-    let mut places: IndexMap<String, IndexMap<String, usize>> = IndexMap::new();
-    for (at, route) in routes.iter().enumerate() {
+/// Route positions by host and prefix; duplicates are rejected.
+pub(crate) fn route_index(routes: &[Route]) -> Result<IndexMap<String, IndexMap<String, usize>>> {
+    let mut index: IndexMap<String, IndexMap<String, usize>> = IndexMap::new();
+    for (position, route) in routes.iter().enumerate() {
         let host = route.host.to_ascii_lowercase();
-        let taken = places
+        let previous = index
             .entry(host)
             .or_default()
-            .insert(route.prefix.clone(), at);
-        if let Some(first) = taken.and_then(|t| routes.get(t)) {
+            .insert(route.prefix.clone(), position);
+        if let Some(first) = previous.and_then(|p| routes.get(p)) {
             let (first, second) = (&first.name, &route.name);
-            return SamePlaceSnafu { first, second }.fail();
+            return DuplicateRouteSnafu { first, second }.fail();
         }
     }
-    Ok(places)
+    Ok(index)
 }
 
-/// Account positions by key; no key belongs to two accounts.
-pub(crate) fn keys(accounts: &[Account]) -> Result<IndexMap<String, usize>> {
-    let mut keys = IndexMap::new();
-    for (at, account) in accounts.iter().enumerate() {
+/// Account positions by key; a key of two accounts is rejected.
+pub(crate) fn key_index(accounts: &[Account]) -> Result<IndexMap<String, usize>> {
+    let mut index = IndexMap::new();
+    for (position, account) in accounts.iter().enumerate() {
         for key in &account.keys {
-            let taken = keys.insert(key.clone(), at).filter(|t| *t != at);
-            if let Some(first) = taken.and_then(|t| accounts.get(t)) {
+            let other = index
+                .insert(key.clone(), position)
+                .filter(|p| *p != position);
+            if let Some(first) = other.and_then(|p| accounts.get(p)) {
                 let (first, second) = (&first.name, &account.name);
-                return SharedKeySnafu { first, second }.fail();
+                return DuplicateKeySnafu { first, second }.fail();
             }
         }
     }
-    Ok(keys)
+    Ok(index)
 }
--- a/crates/settle/src/document.rs
+++ b/crates/settle/src/document.rs
@@ -1,131 +1,131 @@
-//! The document's types and look-ups.
+//! Types and look-ups of a document.
 
 use crate::{Result, check};
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// Version of a document; the highest settled one is in force.
+/// Version of a document; the highest committed one is in force.
 pub type Version = u64;
 /// Name of a service.
 pub type ServiceId = String;
 /// Name of a client account.
 pub type AccountId = String;
 
-/// What may be done with a request more than once.
+/// Whether a request may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     /// Idempotent: it may run again.
     Safe,
     /// It may run at most once.
     Unsafe,
-    /// Answered by a series of events; runs at most once unless it may be resumed.
+    /// Answered by a stream of events; runs at most once unless it may be resumed.
     Stream,
 }
 
-/// A service of a route and its part of the requests.
+/// A service of a route and its share of the requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Part {
+pub struct WeightedService {
     /// The service.
     pub service: ServiceId,
-    /// Part of the sum of the route's weights.
+    /// Share of the route's total weight.
     pub weight: u64,
 }
 
-/// Requests of one host and path prefix.
+/// Routing rule for requests of one host and path prefix.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Name, for logs.
+    /// Name in logs.
     pub name: String,
-    /// Host that callers name, without a port.
+    /// Host that callers request, without a port.
     pub host: String,
-    /// Beginning of the path; begins and ends with a slash.
+    /// Path prefix; starts and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be repeated.
     pub kind: Kind,
-    /// An interrupted stream may go on after its last whole event elsewhere.
+    /// An interrupted stream may resume elsewhere after its last complete event.
     pub resumes: bool,
-    /// Longest time that a caller is kept waiting.
+    /// Maximum time that a caller waits.
     pub timeout: Duration,
-    /// Time within which an answer, or a stream's first event, is worth most.
+    /// Time within which an answer, or a stream's first event, has the highest value.
     pub target: Duration,
-    /// Longest pause between two events of a stream that is in time; 0: not a stream.
+    /// Maximum pause between two events of a stream that is on time; 0: not a stream.
     pub pause: Duration,
-    /// Rank; 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Backend servers that one request may be sent to at most.
+    /// Maximum number of backend servers that one request is sent to.
     pub attempts: u32,
-    /// No key is asked for.
+    /// Requests need no key.
     pub open: bool,
-    /// Services behind it.
-    pub parts: Vec<Part>,
+    /// Services that its requests are split among.
+    pub services: Vec<WeightedService>,
 }
 
 impl Route {
-    /// A request of this route may run more than once.
+    /// Whether a request of this route may run more than once.
     pub fn idempotent(&self) -> bool {
         self.kind == Kind::Safe || (self.kind == Kind::Stream && self.resumes)
     }
 
-    /// The service for a draw in `0..weight_sum()`.
-    pub fn part(&self, draw: u64) -> Option<&ServiceId> {
-        let mut left = draw;
-        for part in &self.parts {
-            if left < part.weight {
-                return Some(&part.service);
+    /// The service for a random number in `0..total_weight()`.
+    pub fn pick_service(&self, random: u64) -> Option<&ServiceId> {
+        let mut left = random;
+        for weighted in &self.services {
+            if left < weighted.weight {
+                return Some(&weighted.service);
             }
-            left -= part.weight;
+            left -= weighted.weight;
         }
         None
     }
 
     /// Sum of the weights of its services.
-    pub fn weight_sum(&self) -> u64 {
-        self.parts.iter().map(|p| p.weight).sum()
+    pub fn total_weight(&self) -> u64 {
+        self.services.iter().map(|s| s.weight).sum()
     }
 }
 
-/// Longest idle pass that is believed; a second is far beyond any pause in time.
-const LONGEST_PASS_MS: f64 = 1_000.0;
+/// Upper bound of an unloaded pass; a second is far beyond any pause of a stream that is on time.
+const MAX_PASS_MS: f64 = 1_000.0;
 
-/// Figures that an engine's operator publishes, for predictions.
+/// Performance figures that an engine's operator publishes, for predictions.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Engine {
-    /// Requests in one batch.
+    /// Requests per batch.
     pub slots: u32,
-    /// Milliseconds of a step, before what each request adds.
+    /// Milliseconds of a step, without those added per request.
     pub step_ms: f64,
-    /// Steps that are made in one pass, between two events of a stream.
+    /// Steps per pass, between two events of a stream.
     pub stride: u32,
-    /// Milliseconds that each writing request adds to a step.
+    /// Milliseconds that each decoding request adds to a step.
     pub seq_ms: f64,
-    /// Tokens of prompt read a second.
-    pub read_rate: f64,
-    /// Mean tokens of a prompt.
-    pub usual_prompt: f64,
-    /// Mean tokens of an answer.
-    pub usual_answer: f64,
-    /// Present where its ranks share experts in lock-step.
+    /// Prompt tokens processed per second.
+    pub prefill_rate: f64,
+    /// Mean number of tokens of a prompt.
+    pub mean_prompt: f64,
+    /// Mean number of tokens of an answer.
+    pub mean_answer: f64,
+    /// Present if its ranks share experts in lock-step.
     pub experts: Option<Experts>,
 }
 
 impl Engine {
-    /// Time between two events of a stream that is alone.
-    pub fn idle_pass(&self) -> Duration {
+    /// Time between two events of a stream that is the only one.
+    pub fn unloaded_pass(&self) -> Duration {
         let ms = f64::from(self.stride.max(1)) * self.step_ms;
-        Duration::from_secs_f64(ms.clamp(0.0, LONGEST_PASS_MS) / 1000.0)
+        Duration::from_secs_f64(ms.clamp(0.0, MAX_PASS_MS) / 1000.0)
     }
 }
 
-/// How experts lie on the ranks of a lock-step group.
+/// Placement of experts on the ranks of a lock-step group.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Experts {
-    /// Sets of layers that are mapped together.
+    /// Number of layer sets; the layers of a set share a mapping.
     pub sets: usize,
     /// Experts of one set.
     pub experts: usize,
-    /// Experts of one set that a rank holds at most.
-    pub places: usize,
-    /// Experts of one set that one change of the map may bring new to a rank.
+    /// Maximum number of experts of one set that a rank holds.
+    pub placements: usize,
+    /// Maximum number of experts of one set that one change of the map adds to a rank.
     pub spare: usize,
     /// Seconds that one rank takes to copy one expert.
     pub copy_s: f64,
@@ -136,71 +136,71 @@
 pub struct Service {
     /// Name.
     pub name: ServiceId,
-    /// Connections that one of its backend servers accepts from all callers together.
+    /// Connections that each of its backend servers accepts from all callers together.
     pub connections: u32,
-    /// Present where its backend servers are engines.
+    /// Present if its backend servers are engines.
     pub engine: Option<Engine>,
 }
 
-/// What callers may send, and how slowly.
+/// Size and time limits of requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// Largest header section in bytes.
     pub header_bytes: usize,
     /// Largest request body in bytes.
     pub body_bytes: usize,
-    /// Time for a whole header section.
+    /// Time for a complete header section.
     pub header_time: Duration,
-    /// Time that a connection may stay idle.
+    /// Time that a connection may be idle.
     pub idle_time: Duration,
 }
 
 /// A client account.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Account {
-    /// Name; told to backend servers.
+    /// Name; sent to backend servers.
     pub name: AccountId,
     /// Its keys.
     pub keys: Vec<String>,
-    /// Rank that goes before the route's; 0 goes first.
+    /// Priority that overrides the route's; 0 is the highest.
     pub priority: Option<u32>,
 }
 
-/// A checked document.
+/// A validated document.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Plan {
+pub struct Document {
     version: Version,
     routes: Vec<Route>,
     services: IndexMap<ServiceId, Service>,
     limits: Limits,
     accounts: Vec<Account>,
     /// Route positions by host, then prefix.
-    places: IndexMap<String, IndexMap<String, usize>>,
+    route_index: IndexMap<String, IndexMap<String, usize>>,
     /// Account positions by key.
-    keys: IndexMap<String, usize>,
+    key_index: IndexMap<String, usize>,
 }
 
-impl Plan {
-    /// Checks a document as a whole.
+impl Document {
+    /// Validates a document as a whole.
     pub fn new(
         version: Version,
         routes: Vec<Route>,
         services: Vec<Service>,
         limits: Limits,
         accounts: Vec<Account>,
-    ) -> Result<Plan> {
+    ) -> Result<Document> {
         let services: IndexMap<_, _> = services.into_iter().map(|s| (s.name.clone(), s)).collect();
         check::routes(&routes, &services)?;
-        let places = check::places(&routes)?;
-        let keys = check::keys(&accounts)?;
-        Ok(Plan {
+        let route_index = check::route_index(&routes)?;
+        let key_index = check::key_index(&accounts)?;
+        Ok(Document {
             version,
             routes,
             services,
             limits,
             accounts,
-            places,
-            keys,
+            route_index,
+            key_index,
         })
     }
 
@@ -219,28 +219,27 @@
         &self.services
     }
 
-    /// What callers may send.
+    /// Size and time limits of requests.
     pub fn limits(&self) -> Limits {
         self.limits
     }
 
-    /// Requests need a key, except on open routes.
-    pub fn keyed(&self) -> bool {
+    /// Whether requests need a key, except on open routes.
+    pub fn requires_key(&self) -> bool {
         !self.accounts.is_empty()
     }
 
-    /// The route of `host` (a port is passed over) with the longest prefix that begins
-    /// `path`.
+    /// The route of `host` (a port is ignored) with the longest prefix of `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
-        let prefixes = match self.places.get(name) {
+        let prefixes = match self.route_index.get(name) {
             Some(found) => found,
-            None => self.places.get(&name.to_ascii_lowercase())?,
+            None => self.route_index.get(&name.to_ascii_lowercase())?,
         };
         let mut end = path.len();
         while let Some(slash) = path.get(..end)?.rfind('/') {
             let found = path.get(..=slash).and_then(|p| prefixes.get(p));
-            if let Some(route) = found.and_then(|at| self.routes.get(*at)) {
+            if let Some(route) = found.and_then(|position| self.routes.get(*position)) {
                 return Some(route);
             }
             end = slash;
@@ -248,8 +247,10 @@
         None
     }
 
-    /// The account that holds a key.
+    /// The account that a key belongs to.
     pub fn account(&self, key: &str) -> Option<&Account> {
-        self.keys.get(key).and_then(|at| self.accounts.get(*at))
+        self.key_index
+            .get(key)
+            .and_then(|position| self.accounts.get(*position))
     }
 }
--- a/crates/settle/src/lib.rs
+++ b/crates/settle/src/lib.rs
@@ -1,31 +1,31 @@
-//! The settled configuration of a system as one versioned document: routes, services,
-//! limits and client accounts, checked as a whole, and the look-ups that requests need.
+//! The committed configuration of a system as one versioned document: routes, services,
+//! limits and client accounts, validated together, and the look-ups that requests need.
 
 mod check;
-mod plan;
+mod document;
 
-pub use plan::{
-    Account, AccountId, Engine, Experts, Kind, Limits, Part, Plan, Route, Service, ServiceId,
-    Version,
+pub use document::{
+    Account, AccountId, Document, Engine, Experts, Kind, Limits, Route, Service, ServiceId,
+    Version, WeightedService,
 };
 
 use snafu::Snafu;
 
-/// Why a document cannot be settled.
+/// Why a document is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// A route names a service that the document does not define.
+    /// A route refers to a service that the document does not define.
     #[snafu(display("route {route}: unknown service {service:?}"))]
     UnknownService {
         /// Name of the route.
         route: String,
-        /// Service it names.
+        /// The undefined service.
         service: String,
     },
     /// Two routes have the same host and path prefix.
     #[snafu(display("routes {first} and {second} share host and path prefix"))]
-    SamePlace {
+    DuplicateRoute {
         /// The earlier route.
         first: String,
         /// The later route.
@@ -33,19 +33,19 @@
     },
     /// No service of a route has a weight above 0.
     #[snafu(display("route {route}: all weights are 0"))]
-    NoWeight {
+    ZeroWeight {
         /// Name of the route.
         route: String,
     },
-    /// A route has no time to answer in.
+    /// The timeout of a route is 0.
     #[snafu(display("route {route}: the timeout is 0"))]
-    NoTimeout {
+    ZeroTimeout {
         /// Name of the route.
         route: String,
     },
     /// Two accounts have the same key. The key is not shown.
     #[snafu(display("accounts {first} and {second} share a key"))]
-    SharedKey {
+    DuplicateKey {
         /// The earlier account.
         first: String,
         /// The later account.
@@ -53,5 +53,5 @@
     },
 }
 
-/// Result of checking a document.
+/// Result of validating a document.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
--- a/crates/settle/tests/documents.rs
+++ b/crates/settle/tests/documents.rs
@@ -1,8 +1,8 @@
-//! What a document must hold, and what requests find in it.
+//! Validation of documents, and look-ups for requests.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
-use bn_settle::{Account, Error, Kind, Limits, Part, Plan, Route, Service};
+use bn_settle::{Account, Document, Error, Kind, Limits, Route, Service, WeightedService};
 use googletest::prelude::*;
 use std::time::Duration;
 
@@ -19,12 +19,12 @@
         priority: 1,
         attempts: 2,
         open: false,
-        parts: vec![part("s", 1)],
+        services: vec![weighted("s", 1)],
     }
 }
 
-fn part(service: &str, weight: u64) -> Part {
-    Part {
+fn weighted(service: &str, weight: u64) -> WeightedService {
+    WeightedService {
         service: service.into(),
         weight,
     }
@@ -38,7 +38,7 @@
     }
 }
 
-fn plan(routes: Vec<Route>, accounts: Vec<Account>) -> bn_settle::Result<Plan> {
+fn document(routes: Vec<Route>, accounts: Vec<Account>) -> bn_settle::Result<Document> {
     let service = Service {
         name: "s".into(),
         ..Service::default()
@@ -49,17 +49,17 @@
         header_time: Duration::from_secs(1),
         idle_time: Duration::from_secs(1),
     };
-    Plan::new(1, routes, vec![service], limits, accounts)
+    Document::new(1, routes, vec![service], limits, accounts)
 }
 
 #[googletest::test]
-fn the_longest_prefix_of_the_host_decides() {
+fn the_longest_prefix_of_the_host_wins() {
     let routes = vec![
         route("short", "h", "/a/"),
         route("long", "h", "/a/b/"),
         route("root", "g", "/"),
     ];
-    let plan = plan(routes, vec![]).unwrap();
+    let document = document(routes, vec![]).unwrap();
     let cases = [
         ("h", "/a/b/c", Some("long")),
         ("h:8080", "/a/b/", Some("long")),
@@ -72,50 +72,56 @@
     ];
 
     for (host, path, expected) in cases {
-        let found = plan.route(host, path).map(|r| r.name.as_str());
+        let found = document.route(host, path).map(|r| r.name.as_str());
         expect_that!(found, eq(expected), "{host}{path}");
     }
 }
 
 #[googletest::test]
-fn documents_that_do_not_hold_together_are_refused() {
-    let with = |change: fn(&mut Route)| {
+fn invalid_documents_are_rejected() {
+    let invalid = |change: fn(&mut Route)| {
         let mut changed = route("r", "h", "/a/");
         change(&mut changed);
-        plan(vec![changed], vec![]).unwrap_err()
+        document(vec![changed], vec![]).unwrap_err()
     };
 
-    let unknown = with(|r| r.parts = vec![part("t", 1)]);
-    let weightless = with(|r| r.parts = vec![part("s", 0), part("s", 0)]);
-    let timeless = with(|r| r.timeout = Duration::ZERO);
-    let same = plan(vec![route("a", "h", "/a/"), route("b", "H", "/a/")], vec![]).unwrap_err();
+    let unknown = invalid(|r| r.services = vec![weighted("t", 1)]);
+    let zero_weight = invalid(|r| r.services = vec![weighted("s", 0), weighted("s", 0)]);
+    let zero_timeout = invalid(|r| r.timeout = Duration::ZERO);
+    let same = document(vec![route("a", "h", "/a/"), route("b", "H", "/a/")], vec![]).unwrap_err();
     let accounts = vec![account("x", &["k"]), account("y", &["l", "k"])];
-    let shared = plan(vec![], accounts).unwrap_err();
+    let shared = document(vec![], accounts).unwrap_err();
 
     expect_true!(matches!(unknown, Error::UnknownService { .. }));
-    expect_true!(matches!(weightless, Error::NoWeight { .. }));
-    expect_true!(matches!(timeless, Error::NoTimeout { .. }));
-    expect_true!(matches!(same, Error::SamePlace { .. }));
-    expect_true!(matches!(shared, Error::SharedKey { .. }));
+    expect_true!(matches!(zero_weight, Error::ZeroWeight { .. }));
+    expect_true!(matches!(zero_timeout, Error::ZeroTimeout { .. }));
+    expect_true!(matches!(same, Error::DuplicateRoute { .. }));
+    expect_true!(matches!(shared, Error::DuplicateKey { .. }));
     expect_false!(shared.to_string().contains("\"k\""));
 }
 
 #[googletest::test]
 fn one_account_may_list_a_key_twice() {
-    let plan = plan(vec![], vec![account("x", &["k", "k"])]).unwrap();
+    let document = document(vec![], vec![account("x", &["k", "k"])]).unwrap();
 
-    expect_that!(plan.account("k").map(|a| a.name.as_str()), some(eq("x")));
-    expect_that!(plan.account("l"), none());
+    expect_that!(
+        document.account("k").map(|a| a.name.as_str()),
+        some(eq("x"))
+    );
+    expect_that!(document.account("l"), none());
 }
 
 #[googletest::test]
-fn weights_share_out_the_draws() {
+fn services_are_picked_by_weight() {
     let mut split = route("r", "h", "/");
-    split.parts = vec![part("s", 3), part("t", 0), part("u", 1)];
+    split.services = vec![weighted("s", 3), weighted("t", 0), weighted("u", 1)];
 
-    let drawn = (0..4).filter_map(|d| split.part(d).map(String::as_str));
-    let drawn: Vec<&str> = drawn.collect();
+    let picked = (0..4).filter_map(|random| split.pick_service(random).map(String::as_str));
+    let picked: Vec<&str> = picked.collect();
 
-    expect_that!(drawn, elements_are![eq(&"s"), eq(&"s"), eq(&"s"), eq(&"u")]);
-    expect_that!(split.part(4), none());
+    expect_that!(
+        picked,
+        elements_are![eq(&"s"), eq(&"s"), eq(&"s"), eq(&"u")]
+    );
+    expect_that!(split.pick_service(4), none());
 }
