--- a/crates/directory/src/directory.rs
+++ b/crates/directory/src/directory.rs
@@ -25,9 +25,8 @@
 /// Minimum number of selected gateways, if there are so many: the loss of one in ten processes
 /// then costs about a tenth of the requests, as it does with more gateways.
 const MIN_SELECTED: usize = 24;
-/// One gateway is selected per this many requests per second. It is the share of each of 320
-/// gateways at 16,000, and takes 0.02 of a core at 0.45 ms per request, a tenth of what the
-/// smallest instances have.
+/// Requests per second for each selected gateway: the share of each of 320 gateways at 16,000. It
+/// takes 0.02 of a core at 0.45 ms per request, a tenth of what the smallest instances have.
 const RATE_PER_GATEWAY: usize = 50;
 
 /// State that a gateway reports.
@@ -83,8 +82,7 @@
     /// be sent to the first few. All coordinators that know the same gateways select the same ones.
     pub fn select(&self, now: Duration) -> GatewaySelection {
         let mut ready = match is_discovering(now, self.resumed) {
-            // Reports received during the stall are still unread; those with recent contact are
-            // not all.
+            // Reports received meanwhile are still unread; those with recent contact are not all.
             true => self.ready(now, FALLBACK_TIMEOUT),
             false => self.ready(now, CONTACT_TIMEOUT),
         };
--- a/crates/directory/src/lib.rs
+++ b/crates/directory/src/lib.rs
@@ -2,10 +2,10 @@
 //!
 //! Coordinators know all gateways and select some ([`Directory`]); gateways receive the selection
 //! ([`GatewaySelection`]) and answer callers. Callers poll every few seconds. If the few
-//! coordinators answered them, a failure domain whose coordinators are absent would cost each of
-//! its callers a second per poll, and the polls of a large fleet would take a good part of a
-//! coordinator's time. There are many gateways in each domain, and a caller that finds one absent
-//! needs another one anyway.
+//! coordinators answered, a failure domain whose coordinators are absent would cost each of its
+//! callers a second per poll, and the polls of a large fleet would take a good part of a
+//! coordinator's time. Each domain has many gateways, and a caller that finds one absent needs
+//! another one anyway.
 
 mod directory;
 mod selection;
--- a/crates/directory/tests/directory.rs
+++ b/crates/directory/tests/directory.rs
@@ -155,7 +155,7 @@
 /// selection it knows and gets no update. Two selections had the same checksum.
 #[googletest::test]
 fn different_selections_have_different_checksums() {
-    let checksum = |domain: &str| {
+    let sum = |domain: &str| {
         let gateway = SelectedGateway {
             callers: gateway(1),
             domain: domain.into(),
@@ -164,9 +164,6 @@
     };
 
     expect_that!(GatewaySelection::new(Vec::new()).checksum(), eq(0));
-    expect_that!(
-        checksum("d1"),
-        all![eq(checksum("d1")), not(eq(checksum("d2")))]
-    );
-    expect_that!(checksum("d1"), gt(0));
+    expect_that!(sum("d1"), all![eq(sum("d1")), not(eq(sum("d2")))]);
+    expect_that!(sum("d1"), gt(0));
 }
--- a/crates/query/src/ast.rs
+++ b/crates/query/src/ast.rs
@@ -158,10 +158,8 @@
             Statement::Alter(kind, name, parts.map(setting).collect())
         }
         Rule::drop => Statement::Drop(object_kind(next()), next().map(text).unwrap_or_default()),
-        Rule::drain => Statement::Drain(drain_target(next()), next().map(text).unwrap_or_default()),
-        Rule::undrain => {
-            Statement::Undrain(drain_target(next()), next().map(text).unwrap_or_default())
-        }
+        Rule::drain => Statement::Drain(target(next()), next().map(text).unwrap_or_default()),
+        Rule::undrain => Statement::Undrain(target(next()), next().map(text).unwrap_or_default()),
         _ => {
             let name = next().map(text).unwrap_or_default();
             Statement::Switch(name, parts.map(setting).collect())
@@ -188,7 +186,7 @@
     }
 }
 
-fn drain_target(pair: Option<Pair<'_, Rule>>) -> DrainTarget {
+fn target(pair: Option<Pair<'_, Rule>>) -> DrainTarget {
     match pair
         .map(text)
         .unwrap_or_default()
--- a/crates/query/src/table.rs
+++ b/crates/query/src/table.rs
@@ -86,20 +86,18 @@
 /// Applies the filter, sort order, limit and columns of a query to `table`.
 pub fn select(show: &Show, mut table: Table) -> Result<Table> {
     for condition in &show.filter {
-        let index = table.column_index(&condition.column)?;
+        let i = table.column_index(&condition.column)?;
         table
             .rows
-            .retain(|r| r.get(index).is_some_and(|c| matches(c, condition)));
+            .retain(|r| r.get(i).is_some_and(|c| matches(c, condition)));
     }
     if let Some(SortOrder { column, descending }) = &show.order {
-        let index = table.column_index(column)?;
-        table
-            .rows
-            .sort_by(|a, b| match (a.get(index), b.get(index)) {
-                (Some(a), Some(b)) if *descending => compare(b, a),
-                (Some(a), Some(b)) => compare(a, b),
-                _ => Ordering::Equal,
-            });
+        let i = table.column_index(column)?;
+        table.rows.sort_by(|a, b| match (a.get(i), b.get(i)) {
+            (Some(a), Some(b)) if *descending => compare(b, a),
+            (Some(a), Some(b)) => compare(a, b),
+            _ => Ordering::Equal,
+        });
     }
     if let Some(limit) = show.limit {
         table.rows.truncate(limit);
--- a/crates/registry/src/table.rs
+++ b/crates/registry/src/table.rs
@@ -123,8 +123,7 @@
     pub fn merge(&mut self, now: Duration, record: Record) -> Change {
         let later = |r: &Row| record.start_time > r.record.start_time;
         if self.rows.get(&record.id).is_some_and(later) {
-            // Nothing of the earlier start remains valid, including its position in the order
-            // of first contact.
+            // The earlier start is void, including its position in the order of first contact.
             self.rows.shift_remove(&record.id);
         }
         let Some(row) = self.rows.get_mut(&record.id) else {
@@ -202,10 +201,9 @@
         records.filter(|r| r.condition != Condition::Gone)
     }
 
-    /// Of the records that have not departed, the one with the latest first contact at each
-    /// address. A backend server that crashes announces no departure: its record remains beside
-    /// that of its successor at the same address, which answers for both if it does not check
-    /// the id that a request is meant for.
+    /// Of the records that have not departed, the one with the latest first contact per address. A
+    /// crash announces no departure: the record remains beside that of the successor at the same
+    /// address, which answers for both if it does not check the id that is addressed.
     pub fn latest_by_address(&self) -> impl Iterator<Item = &Record> {
         let mut by_address: IndexMap<_, &Record> = IndexMap::new();
         for record in self.present() {
--- a/crates/registry/tests/table.rs
+++ b/crates/registry/tests/table.rs
@@ -129,10 +129,9 @@
     expect_that!(latest, eq(&vec!["successor"]));
 }
 
-/// Guards against a restarted backend server that gets no requests until its sequence number has
-/// passed that of its earlier start, or never if it had departed: it drains, departs, restarts
-/// under the same id and announces itself with a low sequence number. Starts were
-/// distinguished by id only.
+/// Guards against a restarted backend server that gets no requests until its sequence number passes
+/// that of its earlier start, or never if it had departed: it drains, departs, restarts under its
+/// id and announces itself with a low sequence number. Starts were distinguished by id only.
 #[googletest::test]
 fn a_later_start_under_the_same_id_is_an_update() {
     for last in [Condition::Ready, Condition::Draining, Condition::Gone] {
--- a/crates/settle/src/check.rs
+++ b/crates/settle/src/check.rs
@@ -32,12 +32,12 @@
 /// Route positions by host and prefix; duplicates are rejected.
 pub(crate) fn route_index(routes: &[Route]) -> Result<IndexMap<String, IndexMap<String, usize>>> {
     let mut index: IndexMap<String, IndexMap<String, usize>> = IndexMap::new();
-    for (position, route) in routes.iter().enumerate() {
+    for (pos, route) in routes.iter().enumerate() {
         let host = route.host.to_ascii_lowercase();
         let previous = index
             .entry(host)
             .or_default()
-            .insert(route.prefix.clone(), position);
+            .insert(route.prefix.clone(), pos);
         if let Some(first) = previous.and_then(|p| routes.get(p)) {
             let (first, second) = (&first.name, &route.name);
             return DuplicateRouteSnafu { first, second }.fail();
@@ -49,11 +49,9 @@
 /// Account positions by key; a key of two accounts is rejected.
 pub(crate) fn key_index(accounts: &[Account]) -> Result<IndexMap<String, usize>> {
     let mut index = IndexMap::new();
-    for (position, account) in accounts.iter().enumerate() {
+    for (pos, account) in accounts.iter().enumerate() {
         for key in &account.keys {
-            let other = index
-                .insert(key.clone(), position)
-                .filter(|p| *p != position);
+            let other = index.insert(key.clone(), pos).filter(|p| *p != pos);
             if let Some(first) = other.and_then(|p| accounts.get(p)) {
                 let (first, second) = (&first.name, &account.name);
                 return DuplicateKeySnafu { first, second }.fail();
--- a/crates/settle/tests/documents.rs
+++ b/crates/settle/tests/documents.rs
@@ -59,7 +59,7 @@
         route("long", "h", "/a/b/"),
         route("root", "g", "/"),
     ];
-    let document = document(routes, vec![]).unwrap();
+    let doc = document(routes, vec![]).unwrap();
     let cases = [
         ("h", "/a/b/c", Some("long")),
         ("h:8080", "/a/b/", Some("long")),
@@ -72,7 +72,7 @@
     ];
 
     for (host, path, expected) in cases {
-        let found = document.route(host, path).map(|r| r.name.as_str());
+        let found = doc.route(host, path).map(|r| r.name.as_str());
         expect_that!(found, eq(expected), "{host}{path}");
     }
 }
@@ -102,13 +102,10 @@
 
 #[googletest::test]
 fn one_account_may_list_a_key_twice() {
-    let document = document(vec![], vec![account("x", &["k", "k"])]).unwrap();
+    let doc = document(vec![], vec![account("x", &["k", "k"])]).unwrap();
 
-    expect_that!(
-        document.account("k").map(|a| a.name.as_str()),
-        some(eq("x"))
-    );
-    expect_that!(document.account("l"), none());
+    expect_that!(doc.account("k").map(|a| a.name.as_str()), some(eq("x")));
+    expect_that!(doc.account("l"), none());
 }
 
 #[googletest::test]
@@ -116,12 +113,9 @@
     let mut split = route("r", "h", "/");
     split.services = vec![weighted("s", 3), weighted("t", 0), weighted("u", 1)];
 
-    let picked = (0..4).filter_map(|random| split.pick_service(random).map(String::as_str));
-    let picked: Vec<&str> = picked.collect();
+    let picks = (0..4).filter_map(|random| split.pick_service(random).map(String::as_str));
+    let picks: Vec<&str> = picks.collect();
 
-    expect_that!(
-        picked,
-        elements_are![eq(&"s"), eq(&"s"), eq(&"s"), eq(&"u")]
-    );
+    expect_that!(picks, elements_are![eq(&"s"), eq(&"s"), eq(&"s"), eq(&"u")]);
     expect_that!(split.pick_service(4), none());
 }
--- a/crates/state/src/apply.rs
+++ b/crates/state/src/apply.rs
@@ -385,12 +385,8 @@
     matches!(statement, Statement::Switch(_, settings) if settings.iter().any(leader_only))
 }
 
-fn ensure(condition: bool, reason: &str) -> Result<(), String> {
-    if condition {
-        Ok(())
-    } else {
-        Err(reason.into())
-    }
+fn ensure(valid: bool, reason: &str) -> Result<(), String> {
+    if valid { Ok(()) } else { Err(reason.into()) }
 }
 
 fn unknown_setting(s: &Setting) -> String {
