--- a/crates/quorum/benches/schedules.rs
+++ b/crates/quorum/benches/schedules.rs
@@ -4,13 +4,13 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
 #[allow(dead_code)]
-#[path = "../tests/world/mod.rs"]
-mod world;
+#[path = "../tests/simulation/mod.rs"]
+mod simulation;
 
 use proptest::test_runner::{Config, TestRunner};
+use simulation::{play, schedules};
 use std::process::ExitCode;
 use std::time::Instant;
-use world::{play, schedules};
 
 fn main() -> ExitCode {
     let cases = std::env::var("BN_SCHEDULES")
--- a/crates/quorum/src/leader.rs
+++ b/crates/quorum/src/leader.rs
@@ -3,7 +3,7 @@
 
 use crate::members::{Progress, genuine, reached, with_demoted, with_learner, without};
 use crate::model::{Entry, Index, Kind, Member, MemberId, Payload, Role, Standing};
-use crate::step::Quorum;
+use crate::replica::Quorum;
 use crate::{Error, Result};
 use indexmap::IndexMap;
 use std::collections::VecDeque;
--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -6,18 +6,18 @@
 mod leader;
 mod log;
 mod members;
+mod membership;
 mod model;
-mod step;
-mod upkeep;
+mod replica;
 mod votes;
 mod wire;
 
+pub use membership::{Change, JoinAsk, Reason, Turn, Upkeep};
 pub use model::{
     Entry, HardState, Index, Kind, Member, MemberId, Members, Message, Output, Payload, Restored,
     Role, Setup, Snapshot, Standing, Term, Timing,
 };
-pub use step::Quorum;
-pub use upkeep::{Change, JoinAsk, Reason, Turn, Upkeep};
+pub use replica::Quorum;
 
 use snafu::Snafu;
 
--- a/crates/quorum/src/upkeep.rs
+++ b/crates/quorum/src/membership.rs
@@ -8,7 +8,7 @@
 //! asked hands that on to the leader.
 
 use crate::model::{MemberId, Role};
-use crate::step::Quorum;
+use crate::replica::Quorum;
 use indexmap::IndexMap;
 use std::time::Duration;
 
--- a/crates/quorum/src/votes.rs
+++ b/crates/quorum/src/votes.rs
@@ -2,7 +2,7 @@
 
 use crate::members::{genuine, needed};
 use crate::model::{Index, Kind, Message, Role, Term};
-use crate::step::Quorum;
+use crate::replica::Quorum;
 use std::time::Duration;
 
 impl Quorum {
--- a/crates/quorum/tests/directed.rs
+++ b/crates/quorum/tests/directed.rs
@@ -3,14 +3,14 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
 #[allow(dead_code)]
-mod world;
+mod simulation;
 
 use bn_quorum::{
     Entry, Error, Kind, Member, Members, Message, Payload, Quorum, Restored, Role, Setup, Timing,
 };
 use googletest::prelude::*;
+use simulation::{Action, World};
 use std::time::Duration;
-use world::{Action, World};
 
 /// A world with a leader; returns it and the other two.
 fn formed() -> (World, usize, [usize; 2]) {
--- a/crates/quorum/tests/members.rs
+++ b/crates/quorum/tests/members.rs
@@ -3,14 +3,14 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
 #[allow(dead_code)]
-mod world;
+mod simulation;
 
 use bn_quorum::{Change, Reason, Timing};
 use googletest::prelude::*;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
+use simulation::{Action, Size, World};
 use std::time::Duration;
-use world::{Action, Size, World};
 
 /// All that run vote again within 3 s of a calm core: in steps of 10 ms.
 const SOON: usize = 300;
--- a/crates/quorum/tests/schedules.rs
+++ b/crates/quorum/tests/schedules.rs
@@ -4,10 +4,10 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
 #[allow(dead_code)]
-mod world;
+mod simulation;
 
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use world::{play, schedules};
+use simulation::{play, schedules};
 
 const CASES: u32 = 1000;
 
