--- a/crates/coordinator/src/core.rs
+++ b/crates/coordinator/src/core.rs
@@ -12,7 +12,9 @@
 use bn_directory::Directory;
 use bn_engine::Calls;
 use bn_net::{Net, Usage};
-use bn_quorum::{Entry, Message, Output, Payload, Quorum, Role, Setup, Timing, Upkeep};
+use bn_quorum::{
+    Entry, Membership, Message, Output, Payload, Replica, ReplicaConfig, Role, Timing,
+};
 use bn_registry::Registry;
 use bn_store::{Disk, Store};
 use bn_trace::Lines;
@@ -45,7 +47,7 @@
     start: Instant,
     pub(crate) inbox: SocketAddr,
     pub(crate) seeds: Vec<SocketAddr>,
-    pub(crate) quorum: Quorum,
+    pub(crate) quorum: Replica,
     pub(crate) store: Store,
     pub(crate) settled: Settled,
     pub(crate) applied: u64,
@@ -59,7 +61,7 @@
     pub(crate) subscribers: Subscribers,
     pub(crate) waits: settling::Waits,
     pub(crate) reads: reads::Reads,
-    pub(crate) members: Upkeep,
+    pub(crate) members: Membership,
     /// Coordinators that others named.
     pub(crate) heard_of: IndexSet<SocketAddr>,
     pub(crate) groups: groups::Groups,
@@ -140,15 +142,15 @@
             Some(s) => (decode(&s.state)?, s.index),
             None => (Settled::default(), 0),
         };
-        let setup = Setup {
+        let setup = ReplicaConfig {
             id: inbox.ip().to_string(),
             identity,
-            first: Default::default(),
-            timing: Timing::UNLEASED,
+            initial_members: Default::default(),
+            timing: Timing::NO_LEASE,
             seed: rand::random(),
         };
         let start = opening.start;
-        let quorum = Quorum::new(setup, restored, start.elapsed());
+        let quorum = Replica::new(setup, restored, start.elapsed());
         Ok(Core {
             role: quorum.role(),
             current: false,
@@ -173,7 +175,7 @@
             waits: Default::default(),
             reads: Default::default(),
             heard_of: IndexSet::new(),
-            members: Upkeep::new(&inbox.to_string(), conf.losses as usize),
+            members: Membership::new(&inbox.to_string(), conf.losses as usize),
             groups: Default::default(),
             cases: cases::Cases::open(&conf.data),
             calls: opening.calls.clone(),
@@ -318,7 +320,7 @@
 
     fn flush_all(&mut self) -> Result<()> {
         loop {
-            let out = self.quorum.take();
+            let out = self.quorum.take_output();
             if out == Output::default() {
                 return Ok(());
             }
--- a/crates/coordinator/src/durable.rs
+++ b/crates/coordinator/src/durable.rs
@@ -28,12 +28,12 @@
             self.applied = snapshot.index;
             self.adopt(decode(&snapshot.state)?);
         }
-        if out.hard.is_none() && out.cut_from.is_none() && out.append.is_empty() {
+        if out.hard.is_none() && out.truncate_from.is_none() && out.append.is_empty() {
             return Ok(());
         }
         let batch = wire::Batch {
             hard: out.hard.as_ref().map(Into::into),
-            cut_from: out.cut_from.unwrap_or(0),
+            cut_from: out.truncate_from.unwrap_or(0),
             entries: out.append.iter().map(Into::into).collect(),
         };
         let began = self.now();
@@ -50,7 +50,7 @@
         }
         let state = encode(&self.settled);
         if let Some(snapshot) = self.quorum.compact_keeping(self.applied, state, KEPT) {
-            let rest = self.quorum.held_after(snapshot.index);
+            let rest = self.quorum.entries_after(snapshot.index);
             let rest = rest.iter().map(Into::into).collect();
             self.store.snapshot(&(&snapshot).into(), rest)?;
             self.logged_bytes = 0;
--- a/crates/coordinator/src/members.rs
+++ b/crates/coordinator/src/members.rs
@@ -1,7 +1,7 @@
 //! Members of the log, as far as coordinators do something about them.
 
 use crate::core::Core;
-use bn_quorum::{Change, JoinAsk, Reason};
+use bn_quorum::{Change, ChangeReason, JoinRequest};
 use bn_wire::messages::envelope::Body;
 use bn_wire::messages::{self as wire};
 use indexmap::IndexSet;
@@ -19,13 +19,13 @@
         let Ok(inbox) = inbox else {
             return log::warn!("an ask to be a member names no address: {}", ask.inbox);
         };
-        let ask = JoinAsk {
+        let ask = JoinRequest {
             id: inbox.ip().to_string(),
             address: inbox.to_string(),
             identity: ask.identity,
-            handed,
+            forwarded: handed,
         };
-        if let Some((leader, ask)) = self.members.on_ask(&self.quorum, ask)
+        if let Some((leader, ask)) = self.members.on_join_request(&self.quorum, ask)
             && let Ok(ip) = leader.parse()
         {
             let ask = wire::JoinAsk {
@@ -49,12 +49,12 @@
 
     /// Asks to be a member where it hears no leader; as the leader, changes who votes.
     pub(crate) fn keep_members(&mut self, now: Duration) {
-        let turn = self.members.turn(now, &mut self.quorum);
+        let turn = self.members.tick(now, &mut self.quorum);
         if let Some(change) = turn.change {
             self.note_change(&change);
         }
         self.note_voting();
-        let Some(ask) = turn.ask else {
+        let Some(ask) = turn.join_request else {
             return;
         };
         let ask = wire::JoinAsk {
@@ -96,9 +96,9 @@
     }
 
     fn note_change(&self, change: &Change) {
-        let why = |reason: &Reason| match reason {
-            Reason::Emptied => "emptied",
-            Reason::Away => "away",
+        let why = |reason: &ChangeReason| match reason {
+            ChangeReason::IdentityChanged => "emptied",
+            ChangeReason::Absent => "away",
         };
         match change {
             Change::Added(id) => self.lines.put("member_added", json!({ "id": id })),
--- a/crates/coordinator/src/reads.rs
+++ b/crates/coordinator/src/reads.rs
@@ -97,7 +97,7 @@
         if let Stage::Round(term, round) = read.stage {
             if self.quorum.term() != term {
                 read.stage = Stage::Idle;
-            } else if self.quorum.round_reached() >= round {
+            } else if self.quorum.confirmed_round() >= round {
                 read.stage = Stage::Version(self.settled.version);
             }
         }
@@ -105,7 +105,7 @@
             return;
         }
         read.next = now + ASK_GAP;
-        if let Some(round) = self.quorum.begin_round(now) {
+        if let Some(round) = self.quorum.start_round(now) {
             read.stage = Stage::Round(self.quorum.term(), round);
             return;
         }
--- a/crates/coordinator/src/settling.rs
+++ b/crates/coordinator/src/settling.rs
@@ -143,7 +143,7 @@
     /// A document that is asked for again and again while it waits for its majority
     /// goes into the log once a term.
     fn append_once(&mut self, settled: &Settled) {
-        if !self.quorum.formed() {
+        if !self.quorum.voters_identified() {
             return;
         }
         let term = self.quorum.term();
--- a/crates/node/src/control/groups.rs
+++ b/crates/node/src/control/groups.rs
@@ -38,7 +38,7 @@
         report: SwitchReport,
     ) {
         let now = self.now();
-        if !self.quorum.may_grant(now) {
+        if !self.quorum.holds_lease(now) {
             return;
         }
         self.settle_groups();
--- a/crates/node/src/control/lease.rs
+++ b/crates/node/src/control/lease.rs
@@ -69,7 +69,7 @@
     pub(super) fn on_lease_ask(&mut self, from: &str, inbox: SocketAddr, ask: &LeaseAsk) {
         let now = self.now();
         let refusal = match () {
-            () if !self.quorum.may_grant(now) => "not a leader under lease",
+            () if !self.quorum.holds_lease(now) => "not a leader under lease",
             () if !self.state.entries.contains_key(from) => "unknown entry: create it first",
             // It has applied what this leader has not committed: it follows another
             // log, or this leader is the old one. Granting would revert it.
--- a/crates/node/src/control/members.rs
+++ b/crates/node/src/control/members.rs
@@ -13,7 +13,11 @@
             return;
         }
         let members = self.quorum.members();
-        let emptied = self.quorum.standings().into_iter().find(|s| !s.genuine);
+        let emptied = self
+            .quorum
+            .member_statuses()
+            .into_iter()
+            .find(|s| !s.identity_matches);
         let moved = |id: &String| {
             let now = members.get(id).map(|m| m.address.clone());
             wanted.get(id).map(ToString::to_string) != now
@@ -29,7 +33,7 @@
         }
         let fresh = wanted.iter().find(|(id, _)| !members.contains_key(*id));
         if let Some((id, inbox)) = fresh.map(|(id, inbox)| (id.clone(), inbox.to_string()))
-            && self.quorum.add(&id, &inbox).is_ok()
+            && self.quorum.add_learner(&id, &inbox).is_ok()
         {
             self.common
                 .events
@@ -40,14 +44,14 @@
     pub(super) fn members_table(&self) -> Table {
         let mut t = Table::new(&["member", "inbox", "state", "synced", "behind", "leader"]);
         let last = self.quorum.last_index();
-        let settled = self.quorum.members_settled();
-        for standing in self.quorum.standings() {
+        let settled = self.quorum.members_committed();
+        for standing in self.quorum.member_statuses() {
             let (id, matched) = (standing.id, standing.synced);
             let Some(member) = self.quorum.members().get(&id) else {
                 continue;
             };
             let state = match () {
-                () if !standing.genuine => "emptied",
+                () if !standing.identity_matches => "emptied",
                 () if standing.silent => "silent",
                 () if !member.voter => "learner",
                 () if settled => "voter",
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -9,7 +9,9 @@
 use crate::clock::{Clock, ms};
 use crate::run::Common;
 use crate::{DecodeSnafu, Result, SeedSnafu};
-use bn_quorum::{Entry, Member, Message, Output, Payload, Quorum, Restored, Role, Setup, Timing};
+use bn_quorum::{
+    Entry, Member, Message, Output, Payload, Replica, ReplicaConfig, Restored, Role, Timing,
+};
 use bn_state::{Command, State};
 use bn_store::{Disk, Loaded, Store};
 use bn_wire::messages::envelope::Body;
@@ -39,7 +41,7 @@
 /// The control role's state.
 pub(crate) struct Control {
     common: Common,
-    quorum: Quorum,
+    quorum: Replica,
     store: Store,
     state: State,
     /// Index of the last entry applied, of whatever kind.
@@ -79,10 +81,10 @@
                 },
             )
         };
-        let setup = Setup {
+        let setup = ReplicaConfig {
             id: common.id.clone(),
             identity: loaded.identity,
-            first: conf.peers.iter().map(first).collect(),
+            initial_members: conf.peers.iter().map(first).collect(),
             timing: Timing::default(),
             seed: rand::random(),
         };
@@ -91,7 +93,7 @@
             Some(s) => (decode_state(&s.state)?, s.index),
             None => (State::default(), 0),
         };
-        let quorum = Quorum::new(setup, restored, common.clock.now());
+        let quorum = Replica::new(setup, restored, common.clock.now());
         let role = quorum.role();
         Ok(Control {
             common,
@@ -158,7 +160,7 @@
     /// left before the sync could acknowledge what a crash then forgets.
     fn flush(&mut self) -> Result<()> {
         loop {
-            let out = self.quorum.take();
+            let out = self.quorum.take_output();
             if out == Output::default() {
                 return Ok(());
             }
@@ -182,10 +184,10 @@
                 .events
                 .note("snapshot", format!("restored at {}", snapshot.index));
         }
-        if out.hard.is_some() || out.cut_from.is_some() || !out.append.is_empty() {
+        if out.hard.is_some() || out.truncate_from.is_some() || !out.append.is_empty() {
             let batch = wire::Batch {
                 hard: out.hard.as_ref().map(Into::into),
-                cut_from: out.cut_from.unwrap_or(0),
+                cut_from: out.truncate_from.unwrap_or(0),
                 entries: out.append.iter().map(Into::into).collect(),
             };
             let start = self.now();
@@ -236,7 +238,7 @@
         if let Some(snapshot) = self.quorum.compact(self.applied, state) {
             let rest = self
                 .quorum
-                .held_after(snapshot.index)
+                .entries_after(snapshot.index)
                 .iter()
                 .map(Into::into)
                 .collect();
@@ -264,7 +266,7 @@
             self.waits.clear();
             return;
         }
-        if self.quorum.may_grant(now) {
+        if self.quorum.holds_lease(now) {
             self.sow();
             self.reconcile_members();
             self.answer_in_force(now);
--- a/crates/node/src/control/propose.rs
+++ b/crates/node/src/control/propose.rs
@@ -34,7 +34,7 @@
     pub(super) fn on_proposal(&mut self, inbox: SocketAddr, proposal: Proposal) {
         let (call, now) = (proposal.call, self.now());
         let Some(raw) = proposal.command else { return };
-        if !self.quorum.may_grant(now) {
+        if !self.quorum.holds_lease(now) {
             return self.reply(
                 inbox,
                 Outcome {
--- a/crates/quorum/benches/schedules.rs
+++ b/crates/quorum/benches/schedules.rs
@@ -1,5 +1,5 @@
-//! Random schedules of faults with free seeds: `cargo bench -p bn-quorum`. The number
-//! of schedules is `BN_SCHEDULES`, 2,000 where it is not set.
+//! Random schedules of faults with random seeds: `cargo bench -p bn-quorum`. The number of
+//! schedules is `BN_SCHEDULES`, 2,000 by default.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -8,7 +8,7 @@
 mod simulation;
 
 use proptest::test_runner::{Config, TestRunner};
-use simulation::{play, schedules};
+use simulation::{run_schedule, schedules};
 use std::process::ExitCode;
 use std::time::Instant;
 
@@ -23,7 +23,7 @@
         ..Config::default()
     };
     let start = Instant::now();
-    let outcome = TestRunner::new(config).run(&schedules(), |(s, a)| play(s, &a));
+    let outcome = TestRunner::new(config).run(&schedules(), |(s, a)| run_schedule(s, &a));
     let seconds = start.elapsed().as_secs_f64();
     match outcome {
         Ok(()) => {
@@ -31,7 +31,7 @@
             ExitCode::SUCCESS
         }
         Err(e) => {
-            println!("a schedule broke a promise: {e}");
+            println!("a schedule violated a guarantee: {e}");
             ExitCode::FAILURE
         }
     }
--- a/crates/quorum/src/leader.rs
+++ b/crates/quorum/src/leader.rs
@@ -1,176 +1,179 @@
-//! Leading: replication with flow control, the lease, check-quorum, and changes of
-//! members one at a time.
-
-use crate::members::{Progress, genuine, reached, with_demoted, with_learner, without};
-use crate::model::{Entry, Index, Kind, Member, MemberId, Payload, Role, Standing};
-use crate::replica::Quorum;
+//! The leader: replication with flow control, the lease, check-quorum, and membership changes one
+//! at a time.
+
+use crate::members::{
+    Progress, identity_matches, quorum_value, with_demoted, with_learner, without,
+};
+use crate::model::{Entry, Index, Kind, Member, MemberId, MemberStatus, Payload, Role};
+use crate::replica::Replica;
 use crate::{Error, Result};
 use indexmap::IndexMap;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Entries in one message at most.
-const BATCH: u64 = 256;
-/// Entries sent to a follower and not yet answered at most.
-const WINDOW: u64 = 2048;
-/// Bytes of commands in one message, beyond the first command.
-const BATCH_BYTES: usize = 256 << 10;
-/// Rounds without progress after which messages count as lost and are sent again. A
-/// follower needs some rounds to receive and sync a large command; to send it again every
-/// round fills the link until nothing gets through.
-const STUCK_ROUNDS: u64 = 4;
-/// Rounds between two snapshots to one follower.
+/// Maximum entries in one message.
+const MAX_BATCH_ENTRIES: u64 = 256;
+/// Maximum entries sent to a follower and not yet acknowledged.
+const MAX_IN_FLIGHT: u64 = 2048;
+/// Maximum bytes of commands in one message; a larger first command is sent all the same.
+const MAX_BATCH_BYTES: usize = 256 << 10;
+/// Rounds without progress after which messages are assumed lost and retransmitted. A follower
+/// needs several rounds to receive and sync a large command; retransmitting it every round would
+/// saturate the link.
+const RETRANSMIT_ROUNDS: u64 = 4;
+/// Minimum rounds between two snapshots to a follower.
 const SNAPSHOT_ROUNDS: u64 = 5;
-/// Rounds without an answer after which a member counts as silent.
+/// Rounds without a response after which a member is reported as silent.
 const SILENT_ROUNDS: u64 = 3;
-/// Rounds remembered for the lease.
-const ROUNDS: usize = 64;
+/// Recent rounds whose start times are kept, for the lease.
+const ROUND_HISTORY: usize = 64;
 
-/// What only a leader keeps.
+/// State that only a leader has.
 #[derive(Debug, Default)]
-pub(crate) struct Lead {
+pub(crate) struct LeaderState {
     pub(crate) progress: IndexMap<MemberId, Progress>,
-    /// Start of each recent round.
+    /// Number and start time of each recent round.
     rounds: VecDeque<(u64, Duration)>,
     round: u64,
-    /// Next round due.
-    due: Duration,
-    /// When it was elected.
+    /// Time of the next round.
+    round_due: Duration,
+    /// Time of its election.
     since: Duration,
-    /// Index of its first entry.
-    first: Index,
+    /// Index of the first entry of its term.
+    first_index: Index,
 }
 
-impl Quorum {
-    /// Appends a command where this replica leads; returns its index.
+impl Replica {
+    /// Appends a command and returns its index. Fails if this replica is not the leader.
     pub fn propose(&mut self, command: Vec<u8>) -> Result<Index> {
-        self.must_lead()?;
-        Ok(self.append_own(Payload::Command(command)))
+        self.ensure_leader()?;
+        Ok(self.append_as_leader(Payload::Command(command)))
     }
 
-    /// Adds a member that only learns; it votes as soon as it has everything.
-    pub fn add(&mut self, id: &str, address: &str) -> Result<Index> {
-        self.may_change()?;
+    /// Adds a learner; it becomes a voter as soon as it has all entries.
+    pub fn add_learner(&mut self, id: &str, address: &str) -> Result<Index> {
+        self.ensure_can_change()?;
         let members = with_learner(&self.members, id, address)?;
-        Ok(self.append_own(Payload::Members(members)))
+        Ok(self.append_as_leader(Payload::Members(members)))
     }
 
-    /// Makes a voter a learner. It votes again as soon as it has everything, with the disk it then has.
+    /// Makes a voter a learner. It votes again as soon as it has all entries, under the identity of
+    /// the disk it then has.
     pub fn demote(&mut self, id: &str) -> Result<Index> {
-        self.may_change()?;
+        self.ensure_can_change()?;
         let members = with_demoted(&self.members, id)?;
-        Ok(self.append_own(Payload::Members(members)))
+        Ok(self.append_as_leader(Payload::Members(members)))
     }
 
     /// Removes a member.
     pub fn remove(&mut self, id: &str) -> Result<Index> {
-        self.may_change()?;
+        self.ensure_can_change()?;
         let members = without(&self.members, id)?;
-        Ok(self.append_own(Payload::Members(members)))
+        Ok(self.append_as_leader(Payload::Members(members)))
     }
 
-    /// Until when this replica may act as the only leader, as far as time goes.
+    /// Until when this replica may act as the only leader, judged by time alone.
     pub fn lease_until(&self) -> Option<Duration> {
         if self.role != Role::Leader {
             return None;
         }
-        let lead = &self.lead;
-        let round = reached(&self.members, |id| self.round_of(id));
-        let start = lead.rounds.iter().find(|(r, _)| *r == round);
-        start.map(|(_, at)| *at + self.setup.timing.lease)
+        let state = &self.leading;
+        let round = quorum_value(&self.members, |id| self.valid_round_of(id));
+        let start = state.rounds.iter().find(|(r, _)| *r == round);
+        start.map(|(_, at)| *at + self.config.timing.lease)
     }
 
-    /// It leads under a valid lease and knows all that was ever committed.
-    pub fn may_grant(&self, now: Duration) -> bool {
-        self.knows_all() && self.lease_until().is_some_and(|until| now < until)
+    /// Whether it leads under a valid lease and knows everything that was ever committed.
+    pub fn holds_lease(&self, now: Duration) -> bool {
+        self.term_committed() && self.lease_until().is_some_and(|until| now < until)
     }
 
-    /// As the leader: an entry of its own term is committed, and with it all there was before.
-    pub(crate) fn knows_all(&self) -> bool {
-        self.commit >= self.lead.first
+    /// For a leader: whether an entry of its own term is committed, and with it all earlier ones.
+    pub(crate) fn term_committed(&self) -> bool {
+        self.commit >= self.leading.first_index
     }
 
-    /// Begins a round at once and returns its number. Once [`Quorum::round_reached`] is
-    /// at it, a majority has followed this leader after this call: what is committed
-    /// then is the newest there was when the call was made. No clock is involved, so
-    /// it holds for a process that was suspended too. `None`: it does not lead, or does
-    /// not yet know all that was ever committed.
-    pub fn begin_round(&mut self, now: Duration) -> Option<u64> {
-        if self.role != Role::Leader || !self.knows_all() {
+    /// Starts a round at once and returns its number. Once [`Replica::confirmed_round`] reaches it,
+    /// a majority has followed this leader after this call, so the committed entries include
+    /// everything committed when the call was made. No clock is involved, so this also holds for a
+    /// process that was suspended. `None` if this replica is not the leader or does not yet know
+    /// everything that was ever committed.
+    pub fn start_round(&mut self, now: Duration) -> Option<u64> {
+        if self.role != Role::Leader || !self.term_committed() {
             return None;
         }
-        self.lead.due = now;
-        self.lead_on(now);
-        (self.role == Role::Leader).then_some(self.lead.round)
+        self.leading.round_due = now;
+        self.leader_tick(now);
+        (self.role == Role::Leader).then_some(self.leading.round)
     }
 
-    /// The latest round that a majority answered; 0 where this replica does not lead.
-    pub fn round_reached(&self) -> u64 {
+    /// The latest round that a majority has answered; 0 if this replica is not the leader.
+    pub fn confirmed_round(&self) -> u64 {
         match self.role {
-            Role::Leader => reached(&self.members, |id| self.round_of(id)),
+            Role::Leader => quorum_value(&self.members, |id| self.valid_round_of(id)),
             _ => 0,
         }
     }
 
-    /// How each member stands. Empty where this replica does not lead.
-    pub fn standings(&self) -> Vec<Standing> {
+    /// Status of each member; empty if this replica is not the leader.
+    pub fn member_statuses(&self) -> Vec<MemberStatus> {
         if self.role != Role::Leader {
             return Vec::new();
         }
-        let standing = |id: &MemberId| {
-            let seen = self.lead.progress.get(id).map_or(0, |p| p.identity);
-            let me = *id == self.setup.id;
-            let round = self.lead.progress.get(id).map_or(0, |p| p.answered);
-            let missed = self.lead.round.saturating_sub(round);
-            Standing {
+        let status = |id: &MemberId| {
+            let seen = self.leading.progress.get(id).map_or(0, |p| p.identity);
+            let me = *id == self.config.id;
+            let round = self.leading.progress.get(id).map_or(0, |p| p.latest_round);
+            let missed = self.leading.round.saturating_sub(round);
+            MemberStatus {
                 id: id.clone(),
                 synced: self.matched_of(id),
-                // Nothing heard of it yet says nothing of its identity.
-                genuine: me || seen == 0 || genuine(&self.members, id, seen),
+                // Before its first response nothing is known about its identity.
+                identity_matches: me || seen == 0 || identity_matches(&self.members, id, seen),
                 silent: !me && missed > SILENT_ROUNDS,
             }
         };
-        self.members.keys().map(standing).collect()
+        self.members.keys().map(status).collect()
     }
 
-    pub(crate) fn start_leading(&mut self, now: Duration) {
+    pub(crate) fn become_leader(&mut self, now: Duration) {
         self.role = Role::Leader;
-        self.leader = Some(self.setup.id.clone());
-        let first = self.log.last().0 + 1;
-        self.lead = Lead {
+        self.leader = Some(self.config.id.clone());
+        let first_index = self.log.last().0 + 1;
+        self.leading = LeaderState {
             since: now,
-            first,
-            due: now,
-            ..Lead::default()
+            first_index,
+            round_due: now,
+            ..LeaderState::default()
         };
-        self.append_own(Payload::Empty);
-        self.lead_on(now);
+        self.append_as_leader(Payload::Empty);
+        self.leader_tick(now);
     }
 
-    pub(crate) fn lead_on(&mut self, now: Duration) {
-        if !self.heard_by_quorum(now) {
+    pub(crate) fn leader_tick(&mut self, now: Duration) {
+        if !self.has_quorum_contact(now) {
             let term = self.hard.term;
-            return self.follow(now, term, None);
+            return self.become_follower(now, term, None);
         }
-        if now < self.lead.due {
+        if now < self.leading.round_due {
             return;
         }
-        let lead = &mut self.lead;
-        lead.due = now + self.setup.timing.heartbeat;
-        lead.round += 1;
-        lead.rounds.push_back((lead.round, now));
-        if lead.rounds.len() > ROUNDS {
-            lead.rounds.pop_front();
+        let state = &mut self.leading;
+        state.round_due = now + self.config.timing.heartbeat;
+        state.round += 1;
+        state.rounds.push_back((state.round, now));
+        if state.rounds.len() > ROUND_HISTORY {
+            state.rounds.pop_front();
         }
-        for id in self.others() {
-            self.rewind_if_stuck(&id);
+        for id in self.other_members() {
+            self.rewind_if_stalled(&id);
             self.replicate(&id, true);
         }
-        self.settle_members();
-        self.advance();
+        self.identify_and_promote();
+        self.advance_commit();
     }
 
-    pub(crate) fn on_append_answer(
+    pub(crate) fn on_append_response(
         &mut self,
         now: Duration,
         from: &str,
@@ -182,7 +185,7 @@
         if self.role != Role::Leader || !self.members.contains_key(from) {
             return;
         }
-        let counts = genuine(&self.members, from, identity);
+        let counts = identity_matches(&self.members, from, identity);
         let last = self.log.last().0;
         let progress = self.progress_of(from);
         if progress.identity != identity {
@@ -192,9 +195,9 @@
                 ..Progress::default()
             };
         }
-        progress.answered = progress.answered.max(round);
+        progress.latest_round = progress.latest_round.max(round);
         if counts {
-            progress.round = progress.round.max(round);
+            progress.valid_round = progress.valid_round.max(round);
         }
         if accepted {
             progress.matched = progress.matched.max(index.min(last));
@@ -202,56 +205,56 @@
         } else {
             progress.next = (index + 1).min(last + 1);
         }
-        self.advance();
+        self.advance_commit();
         self.replicate(from, false);
-        if self.lead.due <= now {
-            self.lead_on(now);
+        if self.leading.round_due <= now {
+            self.leader_tick(now);
         }
     }
 
-    fn must_lead(&self) -> Result<()> {
+    fn ensure_leader(&self) -> Result<()> {
         let leader = self.leader.clone();
         (self.role == Role::Leader)
             .then_some(())
             .ok_or(Error::NotLeader { leader })
     }
 
-    /// One change at a time, and only after an entry of this term is committed:
-    /// otherwise two leaders could count majorities that do not overlap.
-    fn may_change(&self) -> Result<()> {
-        self.must_lead()?;
-        let settled = self.members_index <= self.commit && self.commit >= self.lead.first;
-        settled.then_some(()).ok_or(Error::ChangeUnderWay)
+    /// Membership changes are made one at a time, and only after an entry of this term is
+    /// committed: otherwise two leaders could count majorities that do not overlap.
+    fn ensure_can_change(&self) -> Result<()> {
+        self.ensure_leader()?;
+        let ready = self.members_index <= self.commit && self.commit >= self.leading.first_index;
+        ready.then_some(()).ok_or(Error::ChangeUnderWay)
     }
 
-    fn append_own(&mut self, payload: Payload) -> Index {
+    fn append_as_leader(&mut self, payload: Payload) -> Index {
         let index = self.log.last().0 + 1;
         self.append(Entry {
             index,
             term: self.hard.term,
             payload,
         });
-        for id in self.others() {
+        for id in self.other_members() {
             self.replicate(&id, false);
         }
-        self.advance();
+        self.advance_commit();
         index
     }
 
-    /// Pins identities that were unknown and promotes learners that have synced
-    /// everything. Until then they count for nothing, so that losing a second
-    /// instance right after a repair loses no entry.
+    /// Records identities that were unknown and promotes learners that have synced all entries.
+    /// Until then learners do not count, so that losing a second instance right after a repair
+    /// loses no entry.
     ///
-    /// The first voters are pinned all at once. One by one, a disk that is lost between
-    /// two of them leaves a voter that is known and gone beside one that is unknown:
-    /// then all must agree and one never can, and the system never starts again.
-    fn settle_members(&mut self) {
-        if self.may_change().is_err() {
+    /// The identities of the initial voters are recorded all at once. If they were recorded one by
+    /// one, a disk lost in between would leave a voter that is known but gone beside one that is
+    /// unknown: all must agree then, one never can, and the system never starts again.
+    fn identify_and_promote(&mut self) {
+        if self.ensure_can_change().is_err() {
             return;
         }
         let last = self.log.last().0;
-        let seen = |id: &MemberId| match self.lead.progress.get(id) {
-            _ if *id == self.setup.id => self.setup.identity,
+        let seen = |id: &MemberId| match self.leading.progress.get(id) {
+            _ if *id == self.config.id => self.config.identity,
             Some(p) => p.identity,
             None => 0,
         };
@@ -270,35 +273,35 @@
             member.voter = true;
         }
         if next != self.members {
-            self.append_own(Payload::Members(next));
+            self.append_as_leader(Payload::Members(next));
         }
     }
 
-    /// All voters are known by their identities. Before that nothing should be promised:
-    /// a lost disk could not be told from the voter that had it.
-    pub fn formed(&self) -> bool {
+    /// Whether the identities of all voters are known. Before that nothing should be acknowledged:
+    /// a voter that lost its disk could not be detected.
+    pub fn voters_identified(&self) -> bool {
         let unknown = |m: &Member| m.voter && m.identity == 0;
-        self.members_settled() && !self.members.values().any(unknown)
+        self.members_committed() && !self.members.values().any(unknown)
     }
 
-    /// A leader that a majority has not answered for an election's time steps down:
-    /// it may be the one that is cut off.
-    pub(crate) fn heard_by_quorum(&self, now: Duration) -> bool {
-        let round = reached(&self.members, |id| self.round_of(id));
-        let start = self.lead.rounds.iter().find(|(r, _)| *r == round);
-        let at = start.map_or(self.lead.since, |(_, at)| (*at).max(self.lead.since));
-        now < at + self.setup.timing.election * 2
+    /// Whether a majority has responded recently. A leader without responses from a majority for an
+    /// election's time steps down: it may be the one that is partitioned.
+    pub(crate) fn has_quorum_contact(&self, now: Duration) -> bool {
+        let round = quorum_value(&self.members, |id| self.valid_round_of(id));
+        let start = self.leading.rounds.iter().find(|(r, _)| *r == round);
+        let at = start.map_or(self.leading.since, |(_, at)| (*at).max(self.leading.since));
+        now < at + self.config.timing.election * 2
     }
 
-    fn advance(&mut self) {
-        let index = reached(&self.members, |id| self.counted_match(id));
-        // Only entries of the own term commit by counting; older ones follow.
+    fn advance_commit(&mut self) {
+        let index = quorum_value(&self.members, |id| self.counted_matched(id));
+        // Only entries of the current term are committed by counting; earlier ones follow.
         if self.log.term(index) == Some(self.hard.term) && index > self.commit {
             self.commit_to(index);
-            let gone =
-                self.members_index <= self.commit && !self.members.contains_key(&self.setup.id);
-            if gone {
-                for id in self.others() {
+            let removed =
+                self.members_index <= self.commit && !self.members.contains_key(&self.config.id);
+            if removed {
+                for id in self.other_members() {
                     self.replicate(&id, true);
                 }
                 self.role = Role::Follower;
@@ -308,21 +311,21 @@
     }
 
     fn replicate(&mut self, id: &str, heartbeat: bool) {
-        let (last, commit, round) = (self.log.last().0, self.commit, self.lead.round);
+        let (last, commit, round) = (self.log.last().0, self.commit, self.leading.round);
         let progress = self.progress_of(id).clone();
-        let full = progress.next > progress.matched + WINDOW;
+        let full = progress.next > progress.matched + MAX_IN_FLIGHT;
         let prev_index = progress.next.saturating_sub(1);
         let Some(prev_term) = self.log.term(prev_index) else {
             return self.send_snapshot(id, heartbeat);
         };
-        // What is out already is not sent along with every heartbeat.
-        let out = heartbeat && progress.next > progress.matched + 1;
-        let to = if full || out {
+        // Entries in flight are not sent again with each heartbeat.
+        let in_flight = heartbeat && progress.next > progress.matched + 1;
+        let to = if full || in_flight {
             prev_index
         } else {
-            last.min(prev_index + BATCH)
+            last.min(prev_index + MAX_BATCH_ENTRIES)
         };
-        let entries = first_bytes(self.log.range(progress.next, to), BATCH_BYTES).to_vec();
+        let entries = prefix_within(self.log.range(progress.next, to), MAX_BATCH_BYTES).to_vec();
         let to = prev_index + entries.len() as Index;
         if entries.is_empty() && !heartbeat {
             return;
@@ -330,7 +333,7 @@
         self.progress_of(id).next = to.max(prev_index) + 1;
         self.send(
             id,
-            Kind::AppendAsk {
+            Kind::AppendRequest {
                 prev_index,
                 prev_term,
                 entries,
@@ -340,74 +343,75 @@
         );
     }
 
-    /// Once in some rounds at most: a snapshot is large, and the follower must sync it.
+    /// Sends at most one snapshot every few rounds: it is large, and the follower must sync it.
     fn send_snapshot(&mut self, id: &str, heartbeat: bool) {
-        let round = self.lead.round;
-        let sent = self.progress_of(id).snapshot;
+        let round = self.leading.round;
+        let sent = self.progress_of(id).snapshot_round;
         let due = sent.is_none_or(|at| round >= at + SNAPSHOT_ROUNDS);
         if heartbeat && due && self.snapshot.index > 0 {
-            self.progress_of(id).snapshot = Some(round);
+            self.progress_of(id).snapshot_round = Some(round);
             let snapshot = self.snapshot.clone();
             self.progress_of(id).next = snapshot.index + 1;
             self.send(id, Kind::Snapshot(snapshot));
         }
     }
 
-    /// Messages may be lost: what made no progress for some rounds is sent again.
-    fn rewind_if_stuck(&mut self, id: &str) {
+    /// Messages may be lost: entries that made no progress for some rounds are sent again.
+    fn rewind_if_stalled(&mut self, id: &str) {
         let progress = self.progress_of(id);
-        let still = progress.matched == progress.before && progress.next > progress.matched + 1;
-        progress.stuck = if still { progress.stuck + 1 } else { 0 };
-        if progress.stuck >= STUCK_ROUNDS {
+        let no_progress =
+            progress.matched == progress.prev_matched && progress.next > progress.matched + 1;
+        progress.stalled = if no_progress { progress.stalled + 1 } else { 0 };
+        if progress.stalled >= RETRANSMIT_ROUNDS {
             progress.next = progress.matched + 1;
-            progress.stuck = 0;
+            progress.stalled = 0;
         }
-        progress.before = progress.matched;
+        progress.prev_matched = progress.matched;
     }
 
     fn progress_of(&mut self, id: &str) -> &mut Progress {
         let next = self.log.last().0 + 1;
-        let fresh = || Progress {
+        let new = || Progress {
             next,
             ..Progress::default()
         };
-        self.lead.progress.entry(id.into()).or_insert_with(fresh)
+        self.leading.progress.entry(id.into()).or_insert_with(new)
     }
 
-    fn others(&self) -> Vec<MemberId> {
+    fn other_members(&self) -> Vec<MemberId> {
         self.members
             .keys()
-            .filter(|id| **id != self.setup.id)
+            .filter(|id| **id != self.config.id)
             .cloned()
             .collect()
     }
 
     fn matched_of(&self, id: &MemberId) -> Index {
-        if *id == self.setup.id {
+        if *id == self.config.id {
             return self.log.last().0;
         }
-        self.lead.progress.get(id).map_or(0, |p| p.matched)
+        self.leading.progress.get(id).map_or(0, |p| p.matched)
     }
 
-    /// What counts towards a commit: only a genuine member's synced entries.
-    fn counted_match(&self, id: &MemberId) -> Index {
-        let seen = self.lead.progress.get(id).map_or(0, |p| p.identity);
-        if *id != self.setup.id && !genuine(&self.members, id, seen) {
+    /// Last index that counts towards a commit: a member's synced entries, if its identity matches.
+    fn counted_matched(&self, id: &MemberId) -> Index {
+        let seen = self.leading.progress.get(id).map_or(0, |p| p.identity);
+        if *id != self.config.id && !identity_matches(&self.members, id, seen) {
             return 0;
         }
         self.matched_of(id)
     }
 
-    fn round_of(&self, id: &MemberId) -> u64 {
-        if *id == self.setup.id {
-            return self.lead.round;
+    fn valid_round_of(&self, id: &MemberId) -> u64 {
+        if *id == self.config.id {
+            return self.leading.round;
         }
-        self.lead.progress.get(id).map_or(0, |p| p.round)
+        self.leading.progress.get(id).map_or(0, |p| p.valid_round)
     }
 }
 
-/// The first entries, up to so many bytes of commands, but one at least.
-fn first_bytes(entries: &[Entry], most: usize) -> &[Entry] {
+/// The first entries with at most `max_bytes` of commands, but at least one entry.
+fn prefix_within(entries: &[Entry], max_bytes: usize) -> &[Entry] {
     let size = |e: &Entry| match &e.payload {
         Payload::Command(bytes) => bytes.len(),
         Payload::Empty | Payload::Members(_) => 0,
@@ -415,7 +419,7 @@
     let mut sum = 0;
     let fits = |e: &Entry| {
         sum += size(e);
-        sum <= most
+        sum <= max_bytes
     };
     let count = entries.iter().map(fits).take_while(|f| *f).count();
     entries.get(..count.max(1)).unwrap_or(entries)
--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -1,7 +1,6 @@
-//! Agreement on one log: a leader-based replicated log as a pure step function.
-//! Inputs and the time go in; what to store, send and apply comes out. No thread,
-//! socket, disk or clock inside. The caller must store and sync an [`Output`]
-//! before it sends the messages of that same output.
+//! A leader-based replicated log, written as a pure state machine: it is given messages and the
+//! time, and returns what to store, send and apply. It uses no thread, socket, disk or clock. The
+//! caller must store and sync an [`Output`] before it sends the messages of that same output.
 
 mod leader;
 mod log;
@@ -12,31 +11,31 @@
 mod votes;
 mod wire;
 
-pub use membership::{Change, JoinAsk, Reason, Turn, Upkeep};
+pub use membership::{Change, ChangeReason, JoinRequest, Membership, MembershipOutput};
 pub use model::{
-    Entry, HardState, Index, Kind, Member, MemberId, Members, Message, Output, Payload, Restored,
-    Role, Setup, Snapshot, Standing, Term, Timing,
+    Entry, HardState, Index, Kind, Member, MemberId, MemberStatus, Members, Message, Output,
+    Payload, ReplicaConfig, Restored, Role, Snapshot, Term, Timing,
 };
-pub use replica::Quorum;
+pub use replica::Replica;
 
 use snafu::Snafu;
 
-/// Why a proposal was not taken. Nothing was appended.
+/// Why a proposal was rejected. Nothing was appended.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// Another replica leads, as far as this one knows.
+    /// Another replica is the leader, as far as this one knows.
     #[snafu(display("not the leader"))]
     NotLeader {
-        /// Who leads, where known.
+        /// The leader, if known.
         leader: Option<MemberId>,
     },
-    /// The last change of members is not committed yet.
-    #[snafu(display("a change of members is under way"))]
+    /// The last membership change is not committed yet.
+    #[snafu(display("a membership change is in progress"))]
     ChangeUnderWay,
-    /// The change names a member wrongly.
+    /// The membership change is invalid.
     #[snafu(display("{reason}"))]
     Member {
-        /// What is wrong.
+        /// Why it is invalid.
         reason: String,
     },
 }
--- a/crates/quorum/src/log.rs
+++ b/crates/quorum/src/log.rs
@@ -1,10 +1,10 @@
-//! The part of the log that is in memory: entries after the last snapshot.
+//! The in-memory part of the log.
 
 use crate::model::{Entry, Index, Members, Payload, Snapshot, Term};
 
 #[derive(Debug, Default)]
 pub(crate) struct Log {
-    /// Index and term before the first entry held.
+    /// Index and term of the entry before the first one in memory.
     base: (Index, Term),
     entries: Vec<Entry>,
 }
@@ -22,7 +22,7 @@
         self.base.0 + 1
     }
 
-    /// Term of the entry at `index`, where it is known.
+    /// Term of the entry at `index`, if known.
     pub(crate) fn term(&self, index: Index) -> Option<Term> {
         match index.checked_sub(self.base.0)? {
             0 => Some(self.base.1),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Entries of `from..=to`, as far as they are held.
+    /// Those entries of `from..=to` that are in memory.
     pub(crate) fn range(&self, from: Index, to: Index) -> &[Entry] {
         let at = |i: Index| (i.saturating_sub(self.first()) as usize).min(self.entries.len());
         let (start, end) = (at(from), at(to + 1));
@@ -41,16 +41,16 @@
         self.entries.push(entry);
     }
 
-    pub(crate) fn cut(&mut self, from: Index) {
+    pub(crate) fn truncate(&mut self, from: Index) {
         let keep = from.saturating_sub(self.first()) as usize;
         self.entries.truncate(keep);
     }
 
-    /// Forgets entries up to `index`, which a snapshot covers.
+    /// Drops the entries up to `index`, which a snapshot covers.
     pub(crate) fn compact(&mut self, index: Index) {
         if let Some(term) = self.term(index) {
-            let gone = (index - self.base.0) as usize;
-            self.entries.drain(..gone);
+            let count = (index - self.base.0) as usize;
+            self.entries.drain(..count);
             self.base = (index, term);
         }
     }
@@ -60,7 +60,7 @@
         self.entries.clear();
     }
 
-    /// The latest members named in the log, with their index.
+    /// The latest members entry in memory, with its index.
     pub(crate) fn members(&self) -> Option<(Index, &Members)> {
         self.entries.iter().rev().find_map(|e| match &e.payload {
             Payload::Members(m) => Some((e.index, m)),
--- a/crates/quorum/src/members.rs
+++ b/crates/quorum/src/members.rs
@@ -1,43 +1,43 @@
-//! Who counts: majorities over members whose identity is known.
+//! Quorums over members with a known identity, and edits of the member list.
 
 use crate::model::{Index, Member, MemberId, Members};
 use crate::{Error, Result};
 
-/// How many voters must agree. While a voter's identity is unknown the log was
-/// just formed, and all must agree: otherwise two replicas whose disks were both
-/// emptied could form a new log beside the surviving one and forget what it holds.
-pub(crate) fn needed(members: &Members) -> usize {
+/// Number of voters that must agree. While a voter's identity is unknown, the log has just been
+/// created and all must agree: otherwise two replicas that both lost their disks could create a new
+/// log beside the surviving one and lose its entries.
+pub(crate) fn quorum_size(members: &Members) -> usize {
     let voters = members.values().filter(|m| m.voter);
     let unknown = voters.clone().any(|m| m.identity == 0);
     let count = voters.count();
     if unknown { count } else { count / 2 + 1 }
 }
 
-/// The message's sender is the member it claims to be. An instance that came back
-/// with an empty disk has forgotten its votes and entries, so nothing it grants
-/// may count under the old identity.
-pub(crate) fn genuine(members: &Members, id: &str, identity: u64) -> bool {
+/// Whether the sender of a message is the member it claims to be. An instance that restarted with
+/// an empty disk has lost its votes and entries, so nothing it grants may count under the old
+/// identity.
+pub(crate) fn identity_matches(members: &Members, id: &str, identity: u64) -> bool {
     members
         .get(id)
         .is_some_and(|m| m.identity == 0 || m.identity == identity)
 }
 
-/// The highest value that enough voters have reached.
-pub(crate) fn reached(members: &Members, value: impl Fn(&MemberId) -> u64) -> u64 {
+/// The highest value that a quorum of voters has reached.
+pub(crate) fn quorum_value(members: &Members, value: impl Fn(&MemberId) -> u64) -> u64 {
     let voters = members.iter().filter(|(_, m)| m.voter);
     let mut values: Vec<u64> = voters.map(|(id, _)| value(id)).collect();
     values.sort_unstable_by(|a, b| b.cmp(a));
     values
-        .get(needed(members).saturating_sub(1))
+        .get(quorum_size(members).saturating_sub(1))
         .copied()
         .unwrap_or(0)
 }
 
-/// The members with one more, which only learns at first.
+/// The members with a learner added.
 pub(crate) fn with_learner(members: &Members, id: &str, address: &str) -> Result<Members> {
     if members.contains_key(id) {
         return Err(Error::Member {
-            reason: format!("{id} is a member already"),
+            reason: format!("{id} is already a member"),
         });
     }
     let mut next = members.clone();
@@ -52,56 +52,56 @@
     Ok(next)
 }
 
-/// The members with a voter as a learner whose identity is not known.
+/// The members with a voter turned into a learner of unknown identity.
 pub(crate) fn with_demoted(members: &Members, id: &str) -> Result<Members> {
     let mut next = members.clone();
     let member = next.get_mut(id).filter(|m| m.voter);
     let Some(member) = member else {
         return Err(Error::Member {
-            reason: format!("{id} is no voter"),
+            reason: format!("{id} is not a voter"),
         });
     };
     (member.voter, member.identity) = (false, 0);
-    with_a_voter(next)
+    require_voter(next)
 }
 
-/// The members without one.
+/// The members without `id`.
 pub(crate) fn without(members: &Members, id: &str) -> Result<Members> {
     let mut next = members.clone();
     if next.shift_remove(id).is_none() {
         return Err(Error::Member {
-            reason: format!("{id} is no member"),
+            reason: format!("{id} is not a member"),
         });
     }
-    with_a_voter(next)
+    require_voter(next)
 }
 
-fn with_a_voter(members: Members) -> Result<Members> {
+fn require_voter(members: Members) -> Result<Members> {
     if !members.values().any(|m| m.voter) {
         return Err(Error::Member {
-            reason: "the last voter stays".into(),
+            reason: "the last voter cannot be removed or demoted".into(),
         });
     }
     Ok(members)
 }
 
-/// How far a member is, for the leader's tables.
+/// Replication progress of a member, as tracked by the leader.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Progress {
     /// Last index known to be synced there.
     pub(crate) matched: Index,
     /// Next index to send.
     pub(crate) next: Index,
-    /// Identity seen in its last answer.
+    /// Identity in its last response.
     pub(crate) identity: u64,
-    /// Latest lease round it answered.
-    pub(crate) round: u64,
+    /// Latest lease round it answered under a matching identity.
+    pub(crate) valid_round: u64,
     /// Latest round it answered under any identity.
-    pub(crate) answered: u64,
-    /// Matched at the last heartbeat, to notice lost messages.
-    pub(crate) before: Index,
-    /// Rounds without progress although something is out.
-    pub(crate) stuck: u64,
+    pub(crate) latest_round: u64,
+    /// `matched` at the last heartbeat, to detect lost messages.
+    pub(crate) prev_matched: Index,
+    /// Rounds without progress while entries are in flight.
+    pub(crate) stalled: u64,
     /// Round of the last snapshot sent.
-    pub(crate) snapshot: Option<u64>,
+    pub(crate) snapshot_round: Option<u64>,
 }
--- a/crates/quorum/src/membership.rs
+++ b/crates/quorum/src/membership.rs
@@ -1,198 +1,207 @@
-//! Who keeps the log: whoever does not vote becomes a learner, and each learner votes as soon as it
-//! holds everything.
+//! Membership of the log: a voter that no longer takes part becomes a learner, and each learner
+//! becomes a voter as soon as it has all entries.
 //!
-//! A voter that stays away, or comes back with an empty disk, is made a learner, not removed: the
-//! leader goes on sending to it, so that it counts again a moment after it is back, and it cannot
-//! come back to a system that does not know it. One that was dropped all the same finds out by
-//! silence: whoever hears no leader asks to be taken in, member or not by its own log, and whoever is
-//! asked hands that on to the leader.
+//! A voter that stays absent, or restarts with an empty disk, is made a learner, not removed: the
+//! leader keeps replicating to it, so that it counts again soon after it is back, and the others
+//! still know it. One that was removed all the same notices the missing contact: any replica
+//! without contact to a leader sends a join request, even if its own log lists it as a member, and
+//! the replicas that receive the request forward it to the leader.
 
 use crate::model::{MemberId, Role};
-use crate::replica::Quorum;
+use crate::replica::Replica;
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// Between two asks to be taken in.
-const ASK_GAP: Duration = Duration::from_millis(400);
-/// A replica that has heard no leader for so long asks to be taken in: two elections, so that those
-/// whose leader ended rather elect another.
-const UNHEARD: Duration = Duration::from_millis(900);
-/// A voter that was silent for this long counts no more; a restart takes a few seconds.
-const AWAY: Duration = Duration::from_secs(6);
-/// A learner that was silent for this long is dropped: instances that are replaced at another address
-/// never come back, and each costs the leader its heartbeats.
-const GONE: Duration = Duration::from_secs(120);
-
-/// A replica asks to be a member.
+/// Interval between join requests.
+const JOIN_INTERVAL: Duration = Duration::from_millis(400);
+/// Time without contact to a leader after which a replica sends join requests: two election
+/// timeouts, so that replicas whose leader failed elect another one first.
+const NO_LEADER_TIMEOUT: Duration = Duration::from_millis(900);
+/// Silence after which a voter no longer counts; a restart takes a few seconds.
+const DEMOTE_AFTER: Duration = Duration::from_secs(6);
+/// Silence after which a learner is removed: instances replaced at another address never come back,
+/// and each costs the leader its heartbeats.
+const REMOVE_AFTER: Duration = Duration::from_secs(120);
+
+/// A replica's request to become a member.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct JoinAsk {
-    /// Who asks.
+pub struct JoinRequest {
+    /// The replica that wants to join.
     pub id: MemberId,
-    /// Where its messages go.
+    /// Address for messages to it.
     pub address: String,
-    /// The number that its data folder has now.
+    /// The current identity of its data folder.
     pub identity: u64,
-    /// It comes from a replica that was asked.
-    pub handed: bool,
+    /// The request was forwarded by a replica that received it.
+    pub forwarded: bool,
 }
 
-/// Why a member no longer votes.
+/// Why a member was demoted or removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reason {
-    /// Its disk is not the one that is counted on.
-    Emptied,
-    /// It has been silent for long.
-    Away,
+pub enum ChangeReason {
+    /// Its disk does not have the identity recorded for the member.
+    IdentityChanged,
+    /// It has been silent for too long.
+    Absent,
 }
 
-/// A change of members that the leader began.
+/// A membership change that the leader started.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
-    /// One that asked is a learner now.
+    /// A replica that sent a join request is a learner now.
     Added(MemberId),
     /// A voter is a learner now.
-    Demoted(MemberId, Reason),
-    /// A learner is no member any more.
-    Removed(MemberId, Reason),
+    Demoted(MemberId, ChangeReason),
+    /// A learner is no longer a member.
+    Removed(MemberId, ChangeReason),
 }
 
-/// What to do after a turn.
+/// Actions after a tick.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Turn {
-    /// To be sent to all replicas that this one knows of.
-    pub ask: Option<JoinAsk>,
-    /// A change that this leader has begun.
+pub struct MembershipOutput {
+    /// Send this to all replicas that this one knows of.
+    pub join_request: Option<JoinRequest>,
+    /// A change that this leader has started.
     pub change: Option<Change>,
 }
 
-/// What one replica remembers between turns about who should be a member.
+/// A replica's state between ticks for managing the membership.
 #[derive(Debug, Clone, Default)]
-pub struct Upkeep {
-    /// Losses that the log has to bear at once.
-    losses: usize,
-    /// Where this replica's messages go.
+pub struct Membership {
+    /// Simultaneous losses that the log must tolerate.
+    max_losses: usize,
+    /// Address for messages to this replica.
     address: String,
-    due: Duration,
-    /// Address of each replica that asked to join.
-    asked: IndexMap<MemberId, String>,
-    /// Members that are silent, since when.
-    silent: IndexMap<MemberId, Duration>,
+    next_request: Duration,
+    /// Address of each replica that sent a join request.
+    join_requests: IndexMap<MemberId, String>,
+    /// Since when each silent member has been silent.
+    silent_since: IndexMap<MemberId, Duration>,
 }
 
-impl Upkeep {
-    /// Of the replica at `address`, for a log that has to bear so many losses at once.
-    pub fn new(address: &str, losses: usize) -> Upkeep {
-        Upkeep {
-            losses,
+impl Membership {
+    /// For the replica at `address`; the log must tolerate `max_losses` simultaneous losses.
+    pub fn new(address: &str, max_losses: usize) -> Membership {
+        Membership {
+            max_losses,
             address: address.into(),
-            ..Upkeep::default()
+            ..Membership::default()
         }
     }
 
-    /// Notes an ask where this replica leads; else returns to whom it has to be handed on. Only a
-    /// leader can take the asker in, and one with an empty disk may not know who leads.
-    pub fn on_ask(&mut self, quorum: &Quorum, ask: JoinAsk) -> Option<(MemberId, JoinAsk)> {
-        if quorum.role() == Role::Leader {
-            if !quorum.members().contains_key(&ask.id) {
-                self.asked.insert(ask.id, ask.address);
+    /// Records the request on the leader; otherwise returns it with the member to forward it to.
+    /// Only a leader can add the sender, which may not know the leader if its disk is empty.
+    pub fn on_join_request(
+        &mut self,
+        replica: &Replica,
+        join: JoinRequest,
+    ) -> Option<(MemberId, JoinRequest)> {
+        if replica.role() == Role::Leader {
+            if !replica.members().contains_key(&join.id) {
+                self.join_requests.insert(join.id, join.address);
             }
             return None;
         }
-        let leader = quorum.leader().filter(|l| !ask.handed && **l != ask.id)?;
-        let handed = JoinAsk {
-            handed: true,
-            ..ask
+        let leader = replica
+            .leader()
+            .filter(|l| !join.forwarded && **l != join.id)?;
+        let forwarded = JoinRequest {
+            forwarded: true,
+            ..join
         };
-        Some((leader.clone(), handed))
+        Some((leader.clone(), forwarded))
     }
 
-    /// One change at a time, by the leader; asks to join, by everybody else.
-    pub fn turn(&mut self, now: Duration, quorum: &mut Quorum) -> Turn {
-        if quorum.role() == Role::Leader {
-            let change = self.change(now, quorum);
-            return Turn { ask: None, change };
+    /// Starts at most one change on the leader; returns join requests on any other replica.
+    pub fn tick(&mut self, now: Duration, replica: &mut Replica) -> MembershipOutput {
+        if replica.role() == Role::Leader {
+            let change = self.next_change(now, replica);
+            return MembershipOutput {
+                join_request: None,
+                change,
+            };
         }
-        self.silent.clear();
-        self.asked.clear();
-        Turn {
-            ask: self.own_ask(now, quorum),
+        self.silent_since.clear();
+        self.join_requests.clear();
+        MembershipOutput {
+            join_request: self.join_request(now, replica),
             change: None,
         }
     }
 
-    fn own_ask(&mut self, now: Duration, quorum: &Quorum) -> Option<JoinAsk> {
-        let unheard = now >= quorum.heard + UNHEARD;
-        if (quorum.is_member() && !unheard) || now < self.due {
+    fn join_request(&mut self, now: Duration, replica: &Replica) -> Option<JoinRequest> {
+        let no_leader = now >= replica.last_contact + NO_LEADER_TIMEOUT;
+        if (replica.is_member() && !no_leader) || now < self.next_request {
             return None;
         }
-        self.due = now + ASK_GAP;
-        Some(JoinAsk {
-            id: quorum.id().clone(),
+        self.next_request = now + JOIN_INTERVAL;
+        Some(JoinRequest {
+            id: replica.id().clone(),
             address: self.address.clone(),
-            identity: quorum.setup.identity,
-            handed: false,
+            identity: replica.config.identity,
+            forwarded: false,
         })
     }
 
-    fn change(&mut self, now: Duration, quorum: &mut Quorum) -> Option<Change> {
-        self.note_silent(now, quorum);
-        if let Some((id, why)) = self.to_demote(now, quorum) {
-            quorum.demote(&id).ok()?;
+    fn next_change(&mut self, now: Duration, replica: &mut Replica) -> Option<Change> {
+        self.update_silent(now, replica);
+        if let Some((id, why)) = self.find_demotion(now, replica) {
+            replica.demote(&id).ok()?;
             return Some(Change::Demoted(id, why));
         }
-        if let Some(id) = self.to_drop(now, quorum) {
-            quorum.remove(&id).ok()?;
-            return Some(Change::Removed(id, Reason::Away));
+        if let Some(id) = self.find_removal(now, replica) {
+            replica.remove(&id).ok()?;
+            return Some(Change::Removed(id, ChangeReason::Absent));
         }
-        let members = quorum.members();
-        self.asked.retain(|id, _| !members.contains_key(id));
-        let (id, address) = self.asked.first()?;
-        quorum.add(id, address).ok()?;
+        let members = replica.members();
+        self.join_requests.retain(|id, _| !members.contains_key(id));
+        let (id, address) = self.join_requests.first()?;
+        replica.add_learner(id, address).ok()?;
         Some(Change::Added(id.clone()))
     }
 
-    fn note_silent(&mut self, now: Duration, quorum: &Quorum) {
-        let standings = quorum.standings();
-        let silent: Vec<_> = standings.iter().filter(|s| s.silent).collect();
+    fn update_silent(&mut self, now: Duration, replica: &Replica) {
+        let statuses = replica.member_statuses();
+        let silent: Vec<_> = statuses.iter().filter(|s| s.silent).collect();
         let is_silent = |id: &MemberId| silent.iter().any(|s| s.id == *id);
-        self.silent.retain(|id, _| is_silent(id));
-        for standing in silent {
-            let since = self.silent.entry(standing.id.clone());
+        self.silent_since.retain(|id, _| is_silent(id));
+        for status in silent {
+            let since = self.silent_since.entry(status.id.clone());
             since.or_insert(now);
         }
     }
 
-    /// A voter whose disk was emptied is a learner at once: as the old voter it could forget what
-    /// it had acknowledged. One that stays away is made one only while the others still bear as many
-    /// losses as they must.
-    fn to_demote(&self, now: Duration, quorum: &Quorum) -> Option<(MemberId, Reason)> {
-        let standings = quorum.standings();
-        if let Some(emptied) = standings.iter().find(|s| !s.genuine) {
-            return Some((emptied.id.clone(), Reason::Emptied));
+    /// A voter whose disk was emptied is demoted at once: counted as the old voter, it could lose
+    /// what it had acknowledged. One that stays absent is demoted only while the remaining voters
+    /// still tolerate `max_losses`.
+    fn find_demotion(&self, now: Duration, replica: &Replica) -> Option<(MemberId, ChangeReason)> {
+        let statuses = replica.member_statuses();
+        if let Some(changed) = statuses.iter().find(|s| !s.identity_matches) {
+            return Some((changed.id.clone(), ChangeReason::IdentityChanged));
         }
-        let voters = quorum.members().values().filter(|m| m.voter).count();
-        if voters <= 2 * self.losses + 1 {
+        let voters = replica.members().values().filter(|m| m.voter).count();
+        if voters <= 2 * self.max_losses + 1 {
             return None;
         }
-        let away = self.silent_for(now, AWAY, quorum, true);
-        away.map(|id| (id, Reason::Away))
+        let absent = self.find_silent(now, DEMOTE_AFTER, replica, true);
+        absent.map(|id| (id, ChangeReason::Absent))
     }
 
-    fn to_drop(&self, now: Duration, quorum: &Quorum) -> Option<MemberId> {
-        self.silent_for(now, GONE, quorum, false)
+    fn find_removal(&self, now: Duration, replica: &Replica) -> Option<MemberId> {
+        self.find_silent(now, REMOVE_AFTER, replica, false)
     }
 
-    /// A voter, or a learner, that has been silent for so long.
-    fn silent_for(
+    /// A voter, or a learner, that has been silent for at least `min_time`.
+    fn find_silent(
         &self,
         now: Duration,
-        time: Duration,
-        quorum: &Quorum,
+        min_time: Duration,
+        replica: &Replica,
         voter: bool,
     ) -> Option<MemberId> {
-        let votes = |id| quorum.members().get(id).is_some_and(|m| m.voter);
-        let mut silent = self.silent.iter();
-        let found = silent.find(|(id, since)| now >= **since + time && votes(*id) == voter);
+        let votes = |id| replica.members().get(id).is_some_and(|m| m.voter);
+        let mut silent = self.silent_since.iter();
+        let found = silent.find(|(id, since)| now >= **since + min_time && votes(*id) == voter);
         found.map(|(id, _)| id.clone())
     }
 }
--- a/crates/quorum/src/model.rs
+++ b/crates/quorum/src/model.rs
@@ -1,45 +1,45 @@
-//! The types of the agreement.
+//! Types of the replicated log.
 
 use indexmap::IndexMap;
 use std::time::Duration;
 
 /// Id of a member.
 pub type MemberId = String;
-/// Number of an election; one leader a term.
+/// Election number; a term has at most one leader.
 pub type Term = u64;
 /// Position in the log, from 1.
 pub type Index = u64;
 
-/// A member of the log's group.
+/// A member of the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Random number kept in the data folder; 0: not yet known. A member whose
-    /// folder was emptied has another one, and its votes no longer count.
+    /// Random number stored in the data folder; 0 if not yet known. A member whose folder was
+    /// emptied has a different one, and its votes no longer count.
     pub identity: u64,
-    /// Where its messages go.
+    /// Address for messages to it.
     pub address: String,
-    /// It votes and counts; otherwise it only learns.
+    /// Whether it votes and counts towards commits; otherwise it is a learner.
     pub voter: bool,
 }
 
 /// All members by id.
 pub type Members = IndexMap<MemberId, Member>;
 
-/// What an entry holds.
+/// Content of an entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Payload {
     /// A new leader's first entry.
     Empty,
-    /// A command, opaque here.
+    /// A command, opaque to the log.
     Command(Vec<u8>),
-    /// The members from here on.
+    /// The members from this entry on.
     Members(Members),
 }
 
 /// One entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
-    /// Position.
+    /// Position in the log.
     pub index: Index,
     /// Term of the leader that appended it.
     pub term: Term,
@@ -47,16 +47,16 @@
     pub payload: Payload,
 }
 
-/// What must be synced before a vote or an answer leaves.
+/// State that must be synced before a vote or a response is sent.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct HardState {
     /// Highest term seen.
     pub term: Term,
-    /// Who got this replica's vote in that term.
+    /// The candidate this replica voted for in that term.
     pub vote: Option<MemberId>,
 }
 
-/// The applied state up to an index.
+/// The applied state at an index.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Snapshot {
     /// Last index it covers.
@@ -65,11 +65,11 @@
     pub term: Term,
     /// Members at that index.
     pub members: Members,
-    /// The state, opaque here.
+    /// The state, opaque to the log.
     pub state: Vec<u8>,
 }
 
-/// What the disk gave back at the start.
+/// State read from disk at the start.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Restored {
     /// Last synced hard state.
@@ -80,25 +80,25 @@
     pub entries: Vec<Entry>,
 }
 
-/// Durations of the agreement.
+/// Timing parameters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timing {
-    /// Between a leader's rounds.
+    /// Interval between a leader's rounds.
     pub heartbeat: Duration,
-    /// Shortest silence before an election; the longest is twice this.
+    /// Minimum time without contact to a leader before an election; the maximum is twice this.
     pub election: Duration,
-    /// A leader's lease from the start of an answered round; below `election`, so
-    /// that clocks may run apart by the difference.
+    /// Length of a leader's lease from the start of an answered round; below `election`, so that
+    /// clocks may drift apart by the difference.
     pub lease: Duration,
 }
 
 impl Timing {
     /// For instances with a twentieth of a core or more, where a heartbeat may be handled tens of
-    /// milliseconds late, and for a log under whose lease nothing is done: reads are confirmed by a
-    /// round, orders carry a token. An election begins after nearly four heartbeats, since whatever
-    /// a dead leader held stands still until the next one leads. Without a lease to wait out,
-    /// replicas that all start together vote at once.
-    pub const UNLEASED: Timing = Timing {
+    /// milliseconds late, and for a log whose lease is not used: reads are confirmed by a round,
+    /// orders carry a token. An election starts after nearly four heartbeats, since everything that
+    /// a failed leader was responsible for is stalled until the next one is elected. Without a
+    /// lease to wait out, replicas that all start together vote at once.
+    pub const NO_LEASE: Timing = Timing {
         heartbeat: Duration::from_millis(120),
         election: Duration::from_millis(450),
         lease: Duration::ZERO,
@@ -115,53 +115,53 @@
     }
 }
 
-/// What a replica is told at its start.
+/// Configuration of a replica.
 #[derive(Debug, Clone)]
-pub struct Setup {
-    /// This replica.
+pub struct ReplicaConfig {
+    /// Id of this replica.
     pub id: MemberId,
-    /// Its number from the data folder.
+    /// Its identity, from the data folder.
     pub identity: u64,
-    /// The first voters, for a log that was never formed.
-    pub first: Members,
-    /// Durations.
+    /// The initial voters, for a log that does not exist yet.
+    pub initial_members: Members,
+    /// Timing parameters.
     pub timing: Timing,
     /// Seed of the election jitter.
     pub seed: u64,
 }
 
-/// How a member stands, as its leader sees it.
+/// Status of a member, as its leader sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Standing {
-    /// The member.
+pub struct MemberStatus {
+    /// Id of the member.
     pub id: MemberId,
     /// Last index known to be synced there.
     pub synced: Index,
-    /// Its data folder is the one that is counted on.
-    pub genuine: bool,
-    /// It has not answered for some rounds.
+    /// Its data folder has the identity recorded for the member.
+    pub identity_matches: bool,
+    /// It has not responded for several rounds.
     pub silent: bool,
 }
 
-/// What a replica is.
+/// Role of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// Follows, or only learns.
+    /// Follows a leader, as a voter or a learner.
     Follower,
-    /// Asks whether it could win, without a new term.
+    /// Requests pre-votes, without starting a new term.
     Trial,
-    /// Asks for votes in a new term.
+    /// Requests votes in a new term.
     Candidate,
-    /// Leads.
+    /// Leads its term.
     Leader,
 }
 
 /// A message between replicas.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Message {
-    /// Sender's term; of a trial, the term it would take.
+    /// Sender's term; in a pre-vote, the term it would start.
     pub term: Term,
-    /// Sender's number.
+    /// Sender's identity.
     pub identity: u64,
     /// Content.
     pub kind: Kind,
@@ -170,71 +170,71 @@
 /// Content of a message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Kind {
-    /// Ask for a vote.
-    VoteAsk {
-        /// Pre-vote: changes nothing.
-        trial: bool,
+    /// Requests a vote.
+    VoteRequest {
+        /// Pre-vote: changes no state.
+        pre_vote: bool,
         /// Last index of the candidate's log.
         last_index: Index,
-        /// Its term.
+        /// Term of that entry.
         last_term: Term,
     },
-    /// A vote, or none.
-    VoteAnswer {
-        /// Answer to a pre-vote.
-        trial: bool,
-        /// The vote is given.
+    /// Grants or denies a vote.
+    VoteResponse {
+        /// Response to a pre-vote.
+        pre_vote: bool,
+        /// The vote is granted.
         granted: bool,
     },
     /// Entries, or a heartbeat.
-    AppendAsk {
-        /// Index before the entries.
+    AppendRequest {
+        /// Index before the first entry.
         prev_index: Index,
-        /// Its term.
+        /// Term at that index.
         prev_term: Term,
         /// The entries.
         entries: Vec<Entry>,
-        /// Committed at the leader.
+        /// Leader's commit index.
         commit: Index,
         /// Round of the leader's lease.
         round: u64,
     },
-    /// What a follower made of it.
-    AppendAnswer {
+    /// Response to an append request.
+    AppendResponse {
         /// Entries match and are synced.
         accepted: bool,
-        /// Last index that matches, or where to try next.
+        /// Last index that matches, or the one to retry from.
         index: Index,
-        /// Round echoed.
+        /// Round of the request.
         round: u64,
     },
-    /// State in place of entries that the leader no longer has.
+    /// Snapshot in place of entries that the leader no longer has.
     Snapshot(Snapshot),
 }
 
-/// What to do after a step, in this order: store and sync, send, apply.
+/// Actions after a step, in this order: store and sync, send, apply.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Output {
     /// Store this term and vote.
     pub hard: Option<HardState>,
-    /// Store this snapshot in place of the whole log, then restore from it.
+    /// Store this snapshot in place of the whole log, then restore the state from it.
     pub snapshot: Option<Snapshot>,
-    /// Void the entries from here on.
-    pub cut_from: Option<Index>,
-    /// Append these.
+    /// Discard stored entries from this index on.
+    pub truncate_from: Option<Index>,
+    /// Append these entries.
     pub append: Vec<Entry>,
-    /// Send these.
+    /// Send these messages.
     pub messages: Vec<(MemberId, Message)>,
-    /// Apply these.
+    /// Apply these entries.
     pub committed: Vec<Entry>,
 }
 
 impl Output {
-    /// Something has to be stored before messages leave.
+    /// Whether something must be stored before the messages are sent.
     pub fn must_store(&self) -> bool {
         self.hard.is_some()
             || self.snapshot.is_some()
-            || self.cut_from.is_some()
+            || self.truncate_from.is_some()
             || !self.append.is_empty()
     }
 }
--- a/crates/quorum/src/replica.rs
+++ b/crates/quorum/src/replica.rs
@@ -1,34 +1,34 @@
-//! The replica: its state, the passing of time, and what every role does with a
-//! message. Elections are in `votes`, leading is in `leader`.
+//! A replica of the log: its state, its timers, and the message handling common to all roles.
+//! Elections are in `votes`, the leader's part is in `leader`.
 
-use crate::leader::Lead;
+use crate::leader::LeaderState;
 use crate::log::Log;
 use crate::model::{
-    Entry, HardState, Index, Kind, MemberId, Members, Message, Output, Payload, Restored, Role,
-    Setup, Snapshot, Term,
+    Entry, HardState, Index, Kind, MemberId, Members, Message, Output, Payload, ReplicaConfig,
+    Restored, Role, Snapshot, Term,
 };
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
 
-/// Entries kept in memory behind a snapshot, for followers and leases that lag.
-const KEPT: u64 = 512;
+/// Entries retained in memory behind a snapshot, for lagging followers and leases.
+const RETAINED_ENTRIES: u64 = 512;
 
-/// Part of an election's time between two trials of a replica that has not heard of a leader
-/// since its start: mostly all have just started, there is no leader to wait for, and until there is
-/// one no process can be told the configuration. Trials change nothing.
+/// Fraction of the election timeout between two pre-votes of a replica that has seen no leader
+/// since its start: usually all replicas have just started, there is no leader to wait for, and
+/// until one is elected no process can get the configuration. A pre-vote changes no state.
 ///
-/// The time grows by as much with each trial in a row, up to the usual one: on busy instances votes
-/// take longer than a short trial lasts, and replicas would depose each other.
-const FRESH_PART: f64 = 0.2;
-/// What a replica waits of a lease that another clock measures: clocks that differ by 8 in 100
-/// either way must not let two leaders hold one.
-const DRIFT: f64 = 1.2;
-
-/// One replica. Times are durations since any fixed start of a monotonic clock.
+/// It grows by this fraction with each consecutive pre-vote, up to the regular timeout: on busy
+/// instances votes take longer than a short pre-vote, and replicas would depose each other.
+const STARTUP_FACTOR: f64 = 0.2;
+/// Factor by which a replica extends a lease that is measured by another clock: with clocks up to
+/// 8 % fast or slow, two leaders must not hold a lease at once.
+const DRIFT_FACTOR: f64 = 1.2;
+
+/// A replica of the log. Times are durations since an arbitrary fixed start of a monotonic clock.
 #[derive(Debug)]
-pub struct Quorum {
-    pub(crate) setup: Setup,
+pub struct Replica {
+    pub(crate) config: ReplicaConfig,
     pub(crate) hard: HardState,
     pub(crate) role: Role,
     pub(crate) leader: Option<MemberId>,
@@ -37,31 +37,31 @@
     pub(crate) members: Members,
     pub(crate) members_index: Index,
     pub(crate) snapshot: Snapshot,
-    /// When an election is due.
-    pub(crate) due: Duration,
-    /// Trials and campaigns that others might have voted in since a leader was heard.
+    /// Time of the next election.
+    pub(crate) election_due: Duration,
+    /// Pre-votes and campaigns since the last contact with a leader that others may have voted in.
     pub(crate) campaigns: u32,
-    /// A trial of its own ended for that of another since a leader was heard.
-    pub(crate) gave_way: bool,
-    /// When the leader, or this replica's own start, was last heard.
-    pub(crate) heard: Duration,
-    /// It has not heard of a leader since its start.
-    pub(crate) fresh: bool,
-    /// When it last held all that a leader had committed by then.
-    pub(crate) current: Option<Duration>,
+    /// Whether it has ended a pre-vote in favor of another's since the last contact with a leader.
+    pub(crate) yielded: bool,
+    /// Time of the last message from a leader, or of this replica's start.
+    pub(crate) last_contact: Duration,
+    /// No message from a leader has been received since the start.
+    pub(crate) leader_unseen: bool,
+    /// When it last had all entries that a leader had committed by then.
+    pub(crate) current_at: Option<Duration>,
     pub(crate) votes: Vec<MemberId>,
-    pub(crate) lead: Lead,
-    pub(crate) out: Output,
+    pub(crate) leading: LeaderState,
+    pub(crate) output: Output,
     rng: SmallRng,
 }
 
-impl Quorum {
-    /// Starts a replica from what its disk holds.
-    pub fn new(setup: Setup, restored: Restored, now: Duration) -> Quorum {
-        let snapshot = restored.snapshot.unwrap_or_else(|| first_snapshot(&setup));
+impl Replica {
+    /// Starts a replica from the state restored from disk.
+    pub fn new(config: ReplicaConfig, restored: Restored, now: Duration) -> Replica {
+        let snapshot = restored.snapshot.unwrap_or_else(|| first_snapshot(&config));
         let log = Log::new((snapshot.index, snapshot.term), restored.entries);
-        let mut quorum = Quorum {
-            rng: SmallRng::seed_from_u64(setup.seed),
+        let mut replica = Replica {
+            rng: SmallRng::seed_from_u64(config.seed),
             hard: restored.hard,
             role: Role::Follower,
             leader: None,
@@ -69,101 +69,106 @@
             members: Members::new(),
             members_index: 0,
             snapshot,
-            due: now,
+            election_due: now,
             campaigns: 0,
-            gave_way: false,
-            // A voter that restarted may have acknowledged a lease round just
-            // before; by counting its start as hearing from the leader it waits
-            // that lease out before it votes for another.
-            heard: now,
-            fresh: true,
-            current: None,
+            yielded: false,
+            // A restarted voter may have acknowledged a lease round just before. Counting the
+            // start as contact with the leader makes it wait that lease out before it votes.
+            last_contact: now,
+            leader_unseen: true,
+            current_at: None,
             votes: Vec::new(),
-            lead: Lead::default(),
-            out: Output::default(),
+            leading: LeaderState::default(),
+            output: Output::default(),
             log,
-            setup,
+            config,
         };
-        quorum.adopt_members();
-        quorum.rest(now);
-        quorum.due += quorum.silence();
-        quorum
+        replica.refresh_members();
+        replica.reset_election_timer(now);
+        replica.election_due += replica.quiet_period();
+        replica
     }
 
-    /// Lets time pass.
+    /// Runs the timers due at `now`.
     pub fn tick(&mut self, now: Duration) {
         match self.role {
-            Role::Leader => self.lead_on(now),
-            _ if now >= self.due && self.may_campaign() => self.campaign(now, true),
+            Role::Leader => self.leader_tick(now),
+            _ if now >= self.election_due && self.may_campaign() => self.campaign(now, true),
             _ => {}
         }
     }
 
-    /// Takes a message from another replica.
+    /// Handles a message from another replica.
     pub fn receive(&mut self, now: Duration, from: &str, message: Message) {
-        let trial = matches!(
+        let pre_vote = matches!(
             message.kind,
-            Kind::VoteAsk { trial: true, .. }
-                | Kind::VoteAnswer {
-                    trial: true,
+            Kind::VoteRequest { pre_vote: true, .. }
+                | Kind::VoteResponse {
+                    pre_vote: true,
                     granted: true
                 }
         );
-        if let Kind::VoteAsk {
-            trial,
+        if let Kind::VoteRequest {
+            pre_vote,
             last_index,
             last_term,
         } = message.kind
         {
-            return self.on_vote_ask(now, from, message.term, trial, (last_index, last_term));
+            return self.on_vote_request(
+                now,
+                from,
+                message.term,
+                pre_vote,
+                (last_index, last_term),
+            );
         }
-        if message.term > self.hard.term && !trial {
-            self.follow(now, message.term, None);
+        if message.term > self.hard.term && !pre_vote {
+            self.become_follower(now, message.term, None);
         }
         match message.kind {
-            Kind::VoteAnswer { trial, granted } => {
-                self.on_vote_answer(now, from, &message, trial, granted);
+            Kind::VoteResponse { pre_vote, granted } => {
+                self.on_vote_response(now, from, &message, pre_vote, granted);
             }
-            _ if message.term < self.hard.term => self.refuse(from, &message.kind),
-            Kind::AppendAsk {
+            _ if message.term < self.hard.term => self.reject_stale(from, &message.kind),
+            Kind::AppendRequest {
                 prev_index,
                 prev_term,
                 entries,
                 commit,
                 round,
             } => {
-                self.hear(now, message.term, from);
-                self.on_append(from, (prev_index, prev_term), entries, commit, round);
-                self.note_current(now, commit);
+                self.record_leader_contact(now, message.term, from);
+                self.on_append_request(from, (prev_index, prev_term), entries, commit, round);
+                self.update_current(now, commit);
             }
             Kind::Snapshot(snapshot) => {
-                self.hear(now, message.term, from);
+                self.record_leader_contact(now, message.term, from);
                 self.on_snapshot(from, snapshot);
             }
-            Kind::AppendAnswer {
+            Kind::AppendResponse {
                 accepted,
                 index,
                 round,
             } => {
-                self.on_append_answer(now, from, message.identity, accepted, index, round);
+                self.on_append_response(now, from, message.identity, accepted, index, round);
             }
-            Kind::VoteAsk { .. } => {}
+            Kind::VoteRequest { .. } => {}
         }
     }
 
-    /// Takes what has to be done since the last call.
-    pub fn take(&mut self) -> Output {
-        std::mem::take(&mut self.out)
+    /// Returns the output accumulated since the last call.
+    pub fn take_output(&mut self) -> Output {
+        std::mem::take(&mut self.output)
     }
 
-    /// Tells the replica that `state` is the applied state at `index`; returns the
-    /// snapshot to store. Memory then keeps only some entries behind it.
+    /// Makes `state`, the applied state at `index`, the snapshot, and returns it to be stored.
+    /// Only some entries before it stay in memory.
     pub fn compact(&mut self, index: Index, state: Vec<u8>) -> Option<Snapshot> {
-        self.compact_keeping(index, state, KEPT)
+        self.compact_keeping(index, state, RETAINED_ENTRIES)
     }
 
-    /// As [`Quorum::compact`], with the number of entries that stay in memory.
-    pub fn compact_keeping(&mut self, index: Index, state: Vec<u8>, kept: u64) -> Option<Snapshot> {
+    /// Like [`Replica::compact`], keeping `keep` entries before `index` in memory.
+    pub fn compact_keeping(&mut self, index: Index, state: Vec<u8>, keep: u64) -> Option<Snapshot> {
         if index > self.commit || index <= self.snapshot.index {
             return None;
         }
@@ -176,26 +181,26 @@
             state,
         };
         self.log
-            .compact(index.saturating_sub(kept).max(self.log.first() - 1));
+            .compact(index.saturating_sub(keep).max(self.log.first() - 1));
         Some(self.snapshot.clone())
     }
 
-    /// Committed entries after `index`; `None` where some are no longer held.
+    /// Committed entries after `index`; `None` if some of them are no longer in memory.
     pub fn committed_after(&self, index: Index) -> Option<&[Entry]> {
         (index + 1 >= self.log.first()).then(|| self.log.range(index + 1, self.commit))
     }
 
-    /// All entries after `index` that are held, committed or not.
-    pub fn held_after(&self, index: Index) -> &[Entry] {
+    /// All entries after `index` that are in memory, committed or not.
+    pub fn entries_after(&self, index: Index) -> &[Entry] {
         self.log.range(index + 1, self.log.last().0)
     }
 
-    /// What it is.
+    /// Its role.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// Who leads, as far as it knows.
+    /// The leader, as far as this replica knows.
     pub fn leader(&self) -> Option<&MemberId> {
         self.leader.as_ref()
     }
@@ -205,7 +210,7 @@
         self.hard.term
     }
 
-    /// Last committed index it knows.
+    /// Highest index known to be committed.
     pub fn commit(&self) -> Index {
         self.commit
     }
@@ -215,34 +220,35 @@
         self.log.last().0
     }
 
-    /// The members in use: the latest in the log, committed or not.
+    /// The members in effect: the latest in the log, committed or not.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// Its members, as far as it knows them, name it under its own identity.
+    /// Whether the members in effect, as known here, include this replica under its own identity.
     pub fn is_member(&self) -> bool {
-        let me = self.members.get(&self.setup.id);
-        me.is_some_and(|m| m.identity == 0 || m.identity == self.setup.identity)
+        let me = self.members.get(&self.config.id);
+        me.is_some_and(|m| m.identity == 0 || m.identity == self.config.identity)
     }
 
-    /// The members in use are committed. Until then a repair is not complete: if the
-    /// leader is lost too, the learner it promoted may still count for nothing.
-    pub fn members_settled(&self) -> bool {
+    /// Whether the members in effect are committed. Until then a repair is not complete: if the
+    /// leader is lost too, the learner it promoted may still not count.
+    pub fn members_committed(&self) -> bool {
         self.members_index <= self.commit
     }
 
-    /// Whether all that was committed until `within` ago is known here to be committed. What a disk
-    /// holds after a restart may be older, and its newest entries may count or not: only a leader's
-    /// word tells, once an entry of its own term is committed.
+    /// Whether everything committed until `within` ago is known here to be committed. The disk may
+    /// hold an older state after a restart, and its newest entries may or may not be committed:
+    /// only a leader's message tells, once an entry of the leader's own term is committed.
     pub fn is_current(&self, now: Duration, within: Duration) -> bool {
-        let led = self.role == Role::Leader && self.knows_all() && self.heard_by_quorum(now);
-        led || self.current.is_some_and(|at| now < at + within)
+        let led =
+            self.role == Role::Leader && self.term_committed() && self.has_quorum_contact(now);
+        led || self.current_at.is_some_and(|at| now < at + within)
     }
 
     /// Its own id.
     pub fn id(&self) -> &MemberId {
-        &self.setup.id
+        &self.config.id
     }
 
     /// The latest snapshot.
@@ -253,57 +259,57 @@
     pub(crate) fn send(&mut self, to: &str, kind: Kind) {
         let message = Message {
             term: self.hard.term,
-            identity: self.setup.identity,
+            identity: self.config.identity,
             kind,
         };
-        self.out.messages.push((to.into(), message));
+        self.output.messages.push((to.into(), message));
     }
 
     /// Becomes a follower in `term`.
-    pub(crate) fn follow(&mut self, now: Duration, term: Term, leader: Option<&str>) {
+    pub(crate) fn become_follower(&mut self, now: Duration, term: Term, leader: Option<&str>) {
         if term > self.hard.term {
-            self.set_hard(term, None);
+            self.set_hard_state(term, None);
         }
         self.role = Role::Follower;
         self.leader = leader.map(Into::into);
         self.votes.clear();
-        self.rest(now);
+        self.reset_election_timer(now);
     }
 
-    pub(crate) fn set_hard(&mut self, term: Term, vote: Option<MemberId>) {
+    pub(crate) fn set_hard_state(&mut self, term: Term, vote: Option<MemberId>) {
         self.hard = HardState { term, vote };
-        self.out.hard = Some(self.hard.clone());
+        self.output.hard = Some(self.hard.clone());
     }
 
-    /// Sets the next election a random time ahead. A replica that has not heard of a leader
-    /// since its start tries more often: mostly all of them have just started.
-    pub(crate) fn rest(&mut self, now: Duration) {
-        let base = match self.fresh {
+    /// Schedules the next election after a random timeout, which is shorter while no leader has
+    /// been seen since the start: usually all replicas have just started.
+    pub(crate) fn reset_election_timer(&mut self, now: Duration) {
+        let base = match self.leader_unseen {
             true => {
-                let part = FRESH_PART * f64::from(self.campaigns + 1);
-                self.setup.timing.election.mul_f64(part.min(1.0))
+                let part = STARTUP_FACTOR * f64::from(self.campaigns + 1);
+                self.config.timing.election.mul_f64(part.min(1.0))
             }
-            false => self.setup.timing.election,
+            false => self.config.timing.election,
         };
-        self.due = now + base + base.mul_f64(self.rng.random::<f64>());
+        self.election_due = now + base + base.mul_f64(self.rng.random::<f64>());
     }
 
-    /// Silence after which this replica votes: after its start, the longest lease that it may
-    /// have acknowledged before.
-    pub(crate) fn silence(&self) -> Duration {
-        match self.fresh {
-            true => self.setup.timing.lease.mul_f64(DRIFT),
-            false => self.setup.timing.election,
+    /// Time without contact to a leader after which this replica votes: after its start, the
+    /// longest lease that it may have acknowledged before.
+    pub(crate) fn quiet_period(&self) -> Duration {
+        match self.leader_unseen {
+            true => self.config.timing.lease.mul_f64(DRIFT_FACTOR),
+            false => self.config.timing.election,
         }
     }
 
     /// Adds an entry to the log in memory and to the output.
     pub(crate) fn append(&mut self, entry: Entry) {
         let changes = matches!(entry.payload, Payload::Members(_));
-        self.out.append.push(entry.clone());
+        self.output.append.push(entry.clone());
         self.log.push(entry);
         if changes {
-            self.adopt_members();
+            self.refresh_members();
         }
     }
 
@@ -312,35 +318,35 @@
         if index <= self.commit {
             return;
         }
-        self.out
+        self.output
             .committed
             .extend_from_slice(self.log.range(self.commit + 1, index));
         self.commit = index;
     }
 
-    fn hear(&mut self, now: Duration, term: Term, leader: &str) {
-        self.heard = now;
+    fn record_leader_contact(&mut self, now: Duration, term: Term, leader: &str) {
+        self.last_contact = now;
         self.campaigns = 0;
-        self.gave_way = false;
-        self.fresh = false;
-        self.follow(now, term, Some(leader));
+        self.yielded = false;
+        self.leader_unseen = false;
+        self.become_follower(now, term, Some(leader));
     }
 
-    /// The leader said what is committed. That covers all there was before it led only once an entry
-    /// of its term is among it.
-    fn note_current(&mut self, now: Duration, commit: Index) {
+    /// Handles the leader's commit index. It covers everything committed before this leader's term
+    /// only once it includes an entry of that term.
+    fn update_current(&mut self, now: Duration, commit: Index) {
         if self.commit >= commit && self.log.term(self.commit) == Some(self.hard.term) {
-            self.current = Some(now);
+            self.current_at = Some(now);
         }
     }
 
-    /// Tells an old leader of the newer term.
-    fn refuse(&mut self, from: &str, kind: &Kind) {
-        if let Kind::AppendAsk { round, .. } = kind {
+    /// Answers a deposed leader with the newer term.
+    fn reject_stale(&mut self, from: &str, kind: &Kind) {
+        if let Kind::AppendRequest { round, .. } = kind {
             let index = self.log.last().0;
             self.send(
                 from,
-                Kind::AppendAnswer {
+                Kind::AppendResponse {
                     accepted: false,
                     index,
                     round: *round,
@@ -349,7 +355,7 @@
         }
     }
 
-    fn on_append(
+    fn on_append_request(
         &mut self,
         from: &str,
         (prev_index, prev_term): (Index, Term),
@@ -358,7 +364,7 @@
         round: u64,
     ) {
         let known = self.log.term(prev_index);
-        // What a snapshot covers is committed and so matches any leader's log.
+        // Entries covered by a snapshot are committed, and so match any leader's log.
         let covered = prev_index < self.log.first() - 1;
         if !covered && known != Some(prev_term) {
             let index = self
@@ -369,7 +375,7 @@
                 .max(self.commit);
             return self.send(
                 from,
-                Kind::AppendAnswer {
+                Kind::AppendResponse {
                     accepted: false,
                     index,
                     round,
@@ -382,7 +388,7 @@
             match self.log.term(entry.index) {
                 Some(term) if term == entry.term => continue,
                 _ if entry.index < self.log.first() => continue,
-                Some(_) => self.cut(entry.index),
+                Some(_) => self.truncate(entry.index),
                 None => {}
             }
             self.append(entry);
@@ -390,7 +396,7 @@
         self.commit_to(commit.min(last));
         self.send(
             from,
-            Kind::AppendAnswer {
+            Kind::AppendResponse {
                 accepted: true,
                 index: last,
                 round,
@@ -398,13 +404,13 @@
         );
     }
 
-    /// Voids entries that another leader appended and never committed.
-    fn cut(&mut self, from: Index) {
-        self.log.cut(from);
-        self.out.append.retain(|e| e.index < from);
-        let earlier = self.out.cut_from.unwrap_or(from);
-        self.out.cut_from = Some(earlier.min(from));
-        self.adopt_members();
+    /// Discards entries that another leader appended and never committed.
+    fn truncate(&mut self, from: Index) {
+        self.log.truncate(from);
+        self.output.append.retain(|e| e.index < from);
+        let earlier = self.output.truncate_from.unwrap_or(from);
+        self.output.truncate_from = Some(earlier.min(from));
+        self.refresh_members();
     }
 
     fn on_snapshot(&mut self, from: &str, snapshot: Snapshot) {
@@ -413,17 +419,17 @@
             self.log.restore(&snapshot);
             self.commit = index;
             self.snapshot = snapshot.clone();
-            self.out = Output {
-                hard: self.out.hard.take(),
+            self.output = Output {
+                hard: self.output.hard.take(),
                 ..Output::default()
             };
-            self.out.snapshot = Some(snapshot);
-            self.adopt_members();
+            self.output.snapshot = Some(snapshot);
+            self.refresh_members();
         }
         let index = self.commit;
         self.send(
             from,
-            Kind::AppendAnswer {
+            Kind::AppendResponse {
                 accepted: true,
                 index,
                 round: 0,
@@ -431,7 +437,7 @@
         );
     }
 
-    fn adopt_members(&mut self) {
+    fn refresh_members(&mut self) {
         let (index, members) = match self.log.members() {
             Some((index, members)) => (index, members.clone()),
             None => (self.snapshot.index, self.snapshot.members.clone()),
@@ -451,9 +457,9 @@
     }
 }
 
-fn first_snapshot(setup: &Setup) -> Snapshot {
+fn first_snapshot(config: &ReplicaConfig) -> Snapshot {
     Snapshot {
-        members: setup.first.clone(),
+        members: config.initial_members.clone(),
         ..Snapshot::default()
     }
 }
--- a/crates/quorum/src/votes.rs
+++ b/crates/quorum/src/votes.rs
@@ -1,122 +1,126 @@
-//! Elections: a pre-vote that disturbs nobody, then a vote in a new term.
+//! Elections: a pre-vote that does not disturb other replicas, then a vote in a new term.
 
-use crate::members::{genuine, needed};
+use crate::members::{identity_matches, quorum_size};
 use crate::model::{Index, Kind, Message, Role, Term};
-use crate::replica::Quorum;
+use crate::replica::Replica;
 use std::time::Duration;
 
-impl Quorum {
-    /// Only a voter that the members know by its own identity campaigns.
+impl Replica {
+    /// Only a voter that the members list under its own identity campaigns.
     pub(crate) fn may_campaign(&self) -> bool {
-        let me = self.members.get(&self.setup.id);
+        let me = self.members.get(&self.config.id);
         self.is_member() && me.is_some_and(|m| m.voter)
     }
 
-    pub(crate) fn campaign(&mut self, now: Duration, trial: bool) {
+    pub(crate) fn campaign(&mut self, now: Duration, pre_vote: bool) {
         let term = self.hard.term + 1;
         self.leader = None;
-        self.role = if trial { Role::Trial } else { Role::Candidate };
-        if !trial {
-            self.set_hard(term, Some(self.setup.id.clone()));
+        self.role = if pre_vote {
+            Role::Trial
+        } else {
+            Role::Candidate
+        };
+        if !pre_vote {
+            self.set_hard_state(term, Some(self.config.id.clone()));
         }
-        self.votes = vec![self.setup.id.clone()];
-        if now >= self.heard + self.silence() {
+        self.votes = vec![self.config.id.clone()];
+        if now >= self.last_contact + self.quiet_period() {
             self.campaigns = self.campaigns.saturating_add(1);
         }
-        self.rest(now);
+        self.reset_election_timer(now);
         let (last_index, last_term) = self.log.last();
         for id in self.other_voters() {
-            let kind = Kind::VoteAsk {
-                trial,
+            let kind = Kind::VoteRequest {
+                pre_vote,
                 last_index,
                 last_term,
             };
             let message = Message {
                 term,
-                identity: self.setup.identity,
+                identity: self.config.identity,
                 kind,
             };
-            self.out.messages.push((id, message));
+            self.output.messages.push((id, message));
         }
         self.count(now);
     }
 
-    pub(crate) fn on_vote_ask(
+    pub(crate) fn on_vote_request(
         &mut self,
         now: Duration,
         from: &str,
         term: Term,
-        trial: bool,
+        pre_vote: bool,
         last: (Index, Term),
     ) {
-        // While a leader may hold its lease no vote is given and no term taken:
-        // a replica that comes back from a silent cut must not depose it, and no
-        // two leases may overlap.
-        let quiet = now >= self.heard + self.silence() && self.role != Role::Leader;
+        // While a leader may hold its lease, no vote is granted and no term adopted: a replica that
+        // reconnects after a partition must not depose the leader, and leases must not overlap.
+        let quiet = now >= self.last_contact + self.quiet_period() && self.role != Role::Leader;
         let (my_index, my_term) = self.log.last();
-        let current = (last.1, last.0) >= (my_term, my_index);
-        if trial {
-            let granted = quiet && current && term > self.hard.term;
+        let up_to_date = (last.1, last.0) >= (my_term, my_index);
+        if pre_vote {
+            let granted = quiet && up_to_date && term > self.hard.term;
             if granted {
-                self.give_way(now, from);
+                self.yield_to(now, from);
             }
             let term = if granted { term } else { self.hard.term };
-            let kind = Kind::VoteAnswer { trial, granted };
+            let kind = Kind::VoteResponse { pre_vote, granted };
             let message = Message {
                 term,
-                identity: self.setup.identity,
+                identity: self.config.identity,
                 kind,
             };
-            self.out.messages.push((from.into(), message));
+            self.output.messages.push((from.into(), message));
             return;
         }
         if !quiet {
             return;
         }
         if term > self.hard.term {
-            self.follow(now, term, None);
+            self.become_follower(now, term, None);
         }
-        let free = self.hard.vote.as_deref().is_none_or(|v| v == from);
-        let granted = term == self.hard.term && current && free;
+        let vote_available = self.hard.vote.as_deref().is_none_or(|v| v == from);
+        let granted = term == self.hard.term && up_to_date && vote_available;
         if granted {
-            self.set_hard(term, Some(from.into()));
-            self.rest(now);
+            self.set_hard_state(term, Some(from.into()));
+            self.reset_election_timer(now);
         }
-        self.send(from, Kind::VoteAnswer { trial, granted });
+        self.send(from, Kind::VoteResponse { pre_vote, granted });
     }
 
-    /// Whoever would be voted for gets the time for it. Replicas that start together all begin
-    /// a trial before the votes of the first are back, all become candidates, and each votes for
-    /// itself. Of two in a trial the one of the lower id goes on; once only, since it
-    /// may be one that hears no answers.
-    fn give_way(&mut self, now: Duration, to: &str) {
+    /// Gives the replica that would get this one's vote the time to be elected. Otherwise replicas
+    /// that start together all start a pre-vote before the first one's votes arrive, all become
+    /// candidates, and each votes for itself. Of two replicas in a pre-vote the one with the lower
+    /// id continues. A replica yields only once, since the other may be unable to receive
+    /// responses.
+    fn yield_to(&mut self, now: Duration, to: &str) {
         match self.role {
-            Role::Follower => self.rest(now),
-            Role::Trial if to < self.setup.id.as_str() && !self.gave_way => {
-                self.gave_way = true;
+            Role::Follower => self.reset_election_timer(now),
+            Role::Trial if to < self.config.id.as_str() && !self.yielded => {
+                self.yielded = true;
                 self.role = Role::Follower;
-                self.rest(now);
+                self.reset_election_timer(now);
             }
             _ => {}
         }
     }
 
-    pub(crate) fn on_vote_answer(
+    pub(crate) fn on_vote_response(
         &mut self,
         now: Duration,
         from: &str,
         message: &Message,
-        trial: bool,
+        pre_vote: bool,
         granted: bool,
     ) {
-        let (role, term) = match trial {
+        let (role, term) = match pre_vote {
             true => (Role::Trial, self.hard.term + 1),
             false => (Role::Candidate, self.hard.term),
         };
         let counts = granted
             && self.role == role
             && message.term == term
-            && genuine(&self.members, from, message.identity)
+            && identity_matches(&self.members, from, message.identity)
             && !self.votes.iter().any(|v| v == from);
         if counts {
             self.votes.push(from.into());
@@ -126,12 +130,12 @@
 
     fn count(&mut self, now: Duration) {
         let voter = |id: &&String| self.members.get(*id).is_some_and(|m| m.voter);
-        if self.votes.iter().filter(voter).count() < needed(&self.members) {
+        if self.votes.iter().filter(voter).count() < quorum_size(&self.members) {
             return;
         }
         match self.role {
             Role::Trial => self.campaign(now, false),
-            _ => self.start_leading(now),
+            _ => self.become_leader(now),
         }
     }
 
@@ -139,7 +143,7 @@
         let others = self
             .members
             .iter()
-            .filter(|(id, m)| m.voter && **id != self.setup.id);
+            .filter(|(id, m)| m.voter && **id != self.config.id);
         others.map(|(id, _)| id.clone()).collect()
     }
 }
--- a/crates/quorum/src/wire.rs
+++ b/crates/quorum/src/wire.rs
@@ -1,4 +1,4 @@
-//! Conversions between the domain types and the schema's.
+//! Conversions between the log's types and those of the wire schema.
 
 use crate::model::{Entry, HardState, Kind, Member, Members, Message, Payload, Snapshot};
 use bn_wire::messages as wire;
@@ -6,7 +6,7 @@
 use bn_wire::messages::quorum::Kind as WireKind;
 use snafu::{OptionExt, Snafu};
 
-/// A message of the schema that misses a part.
+/// A wire message without a required part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 #[snafu(display("the message has no content"))]
 pub struct Incomplete;
@@ -34,7 +34,7 @@
         let kind = match &e.payload {
             Payload::Empty => log_entry::Kind::Empty(true),
             Payload::Command(c) => log_entry::Kind::Command(c.clone()),
-            Payload::Members(m) => log_entry::Kind::Members(members_out(m)),
+            Payload::Members(m) => log_entry::Kind::Members(members_to_wire(m)),
         };
         wire::LogEntry {
             index: e.index,
@@ -51,7 +51,7 @@
         let payload = match e.kind.context(IncompleteSnafu)? {
             log_entry::Kind::Empty(_) => Payload::Empty,
             log_entry::Kind::Command(c) => Payload::Command(c),
-            log_entry::Kind::Members(m) => Payload::Members(members_in(m)),
+            log_entry::Kind::Members(m) => Payload::Members(members_from_wire(m)),
         };
         Ok(Entry {
             index: e.index,
@@ -66,7 +66,7 @@
         wire::Snapshot {
             index: s.index,
             term: s.term,
-            members: Some(members_out(&s.members)),
+            members: Some(members_to_wire(&s.members)),
             state: s.state.clone(),
         }
     }
@@ -74,7 +74,7 @@
 
 impl From<wire::Snapshot> for Snapshot {
     fn from(s: wire::Snapshot) -> Self {
-        let members = s.members.map(members_in).unwrap_or_default();
+        let members = s.members.map(members_from_wire).unwrap_or_default();
         Snapshot {
             index: s.index,
             term: s.term,
@@ -87,20 +87,20 @@
 impl From<&Message> for wire::Quorum {
     fn from(m: &Message) -> Self {
         let kind = match &m.kind {
-            Kind::VoteAsk {
-                trial,
+            Kind::VoteRequest {
+                pre_vote,
                 last_index,
                 last_term,
             } => WireKind::VoteAsk(wire::VoteAsk {
-                trial: *trial,
+                trial: *pre_vote,
                 last_index: *last_index,
                 last_term: *last_term,
             }),
-            Kind::VoteAnswer { trial, granted } => WireKind::VoteAnswer(wire::VoteAnswer {
-                trial: *trial,
+            Kind::VoteResponse { pre_vote, granted } => WireKind::VoteAnswer(wire::VoteAnswer {
+                trial: *pre_vote,
                 granted: *granted,
             }),
-            Kind::AppendAsk {
+            Kind::AppendRequest {
                 prev_index,
                 prev_term,
                 entries,
@@ -113,7 +113,7 @@
                 commit: *commit,
                 round: *round,
             }),
-            Kind::AppendAnswer {
+            Kind::AppendResponse {
                 accepted,
                 index,
                 round,
@@ -140,16 +140,16 @@
 
     fn try_from(m: wire::Quorum) -> Result<Self, Incomplete> {
         let kind = match m.kind.context(IncompleteSnafu)? {
-            WireKind::VoteAsk(v) => Kind::VoteAsk {
-                trial: v.trial,
+            WireKind::VoteAsk(v) => Kind::VoteRequest {
+                pre_vote: v.trial,
                 last_index: v.last_index,
                 last_term: v.last_term,
             },
-            WireKind::VoteAnswer(v) => Kind::VoteAnswer {
-                trial: v.trial,
+            WireKind::VoteAnswer(v) => Kind::VoteResponse {
+                pre_vote: v.trial,
                 granted: v.granted,
             },
-            WireKind::AppendAsk(a) => Kind::AppendAsk {
+            WireKind::AppendAsk(a) => Kind::AppendRequest {
                 prev_index: a.prev_index,
                 prev_term: a.prev_term,
                 entries: a
@@ -160,7 +160,7 @@
                 commit: a.commit,
                 round: a.round,
             },
-            WireKind::AppendAnswer(a) => Kind::AppendAnswer {
+            WireKind::AppendAnswer(a) => Kind::AppendResponse {
                 accepted: a.accepted,
                 index: a.index,
                 round: a.round,
@@ -175,7 +175,7 @@
     }
 }
 
-fn members_out(members: &Members) -> wire::Members {
+fn members_to_wire(members: &Members) -> wire::Members {
     let member = |(id, m): (&String, &Member)| wire::Member {
         id: id.clone(),
         identity: m.identity,
@@ -187,7 +187,7 @@
     }
 }
 
-fn members_in(members: wire::Members) -> Members {
+fn members_from_wire(members: wire::Members) -> Members {
     let member = |m: wire::Member| {
         (
             m.id,
--- a/crates/quorum/tests/directed.rs
+++ b/crates/quorum/tests/directed.rs
@@ -1,4 +1,4 @@
-//! Sequences that random schedules hardly ever meet, played step by step.
+//! Sequences of events that random schedules rarely produce, run step by step.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -6,120 +6,120 @@
 mod simulation;
 
 use bn_quorum::{
-    Entry, Error, Kind, Member, Members, Message, Payload, Quorum, Restored, Role, Setup, Timing,
+    Entry, Error, Kind, Member, Members, Message, Payload, Replica, ReplicaConfig, Restored, Role,
+    Timing,
 };
 use googletest::prelude::*;
-use simulation::{Action, World};
+use simulation::{Action, Simulation};
 use std::time::Duration;
 
-/// A world with a leader; returns it and the other two.
-fn formed() -> (World, usize, [usize; 2]) {
-    let mut world = World::new(7);
-    world.run(300).unwrap();
-    let leader = world.leader().unwrap();
-    (world, leader, [(leader + 1) % 3, (leader + 2) % 3])
+/// A simulation with a leader, the leader, and the other two replicas.
+fn with_leader() -> (Simulation, usize, [usize; 2]) {
+    let mut sim = Simulation::new(7);
+    sim.run(300).unwrap();
+    let leader = sim.leader().unwrap();
+    (sim, leader, [(leader + 1) % 3, (leader + 2) % 3])
 }
 
-/// Symptom: for a second and a half after all processes were killed no caller is served. Sequence:
-/// three replicas start at once, wait for as long as for a leader that fell silent, and longer
-/// after a trial that came too early for the others. Cause: none of them has a leader to wait for.
+/// Guards against 1.5 s without service after all processes were killed: three replicas that start
+/// at once wait as long as for a failed leader, and longer after a pre-vote that came too early for
+/// the others, although none of them has a leader to wait for.
 #[gtest]
 fn replicas_that_start_together_soon_have_a_leader() {
     for seed in 0..40 {
-        let mut world = World::new(seed);
-        world.run(300).unwrap();
+        let mut sim = Simulation::new(seed);
+        sim.run(300).unwrap();
         for i in 0..3 {
-            world.act(&Action::Crash(i, false)).unwrap();
+            sim.apply(&Action::Crash(i, false)).unwrap();
         }
         for i in 0..3 {
-            world.act(&Action::Start(i)).unwrap();
-            world.run(5).unwrap();
+            sim.apply(&Action::Start(i)).unwrap();
+            sim.run(5).unwrap();
         }
 
-        let steps = (0..300).take_while(|_| world.leader().is_none() && world.run(1).is_ok());
+        let steps = (0..300).take_while(|_| sim.leader().is_none() && sim.run(1).is_ok());
 
-        // In steps of 10 ms; clocks run 8 in 100 apart.
+        // In steps of 10 ms, with clock rates 8 % apart.
         expect_that!(steps.count(), le(90), "seed {seed}");
     }
 }
 
-/// Symptom: acknowledged commands are gone after a second loss right after a repair.
-/// Sequence: one follower is cut off, so commands are on the leader and the other one;
-/// that one's disk is emptied and repaired; then the leader's disk is lost. Cause: the
-/// repaired one counts before it has synced everything.
+/// Guards against the loss of acknowledged commands in a second loss right after a repair. One
+/// follower is partitioned, so the commands are on the leader and the other follower; that
+/// follower's disk is emptied and repaired; then the leader's disk is lost. The cause would be that
+/// the repaired replica counts before it has synced everything.
 #[gtest]
 fn a_second_loss_right_after_a_repair_loses_nothing() {
     for commands in [1, 600] {
-        let (mut world, leader, [behind, emptied]) = formed();
-        world.act(&Action::Cut(behind)).unwrap();
+        let (mut sim, leader, [behind, emptied]) = with_leader();
+        sim.apply(&Action::Isolate(behind)).unwrap();
         for _ in 0..commands {
-            world.propose().unwrap();
+            sim.propose().unwrap();
         }
-        world.run(20).unwrap();
-        world.empty(emptied);
+        sim.run(20).unwrap();
+        sim.wipe_disk(emptied);
         let steps = (0..2000)
-            .take_while(|_| !world.repaired() && world.run(1).is_ok())
+            .take_while(|_| !sim.repaired() && sim.run(1).is_ok())
             .count();
-        // With one follower cut off nothing may be promised; the repair waits for it.
+        // With one follower partitioned nothing may be acknowledged; the repair waits for it.
         expect_that!(steps, eq(2000));
-        world.act(&Action::Heal).unwrap();
-        while !world.repaired() {
-            world.run(1).unwrap();
+        sim.apply(&Action::Heal).unwrap();
+        while !sim.repaired() {
+            sim.run(1).unwrap();
         }
 
-        let acked = world.acked();
-        expect_that!(world.replica(emptied).last_index(), ge(acked));
-        world.empty(leader);
+        let acked = sim.acked();
+        expect_that!(sim.replica(emptied).last_index(), ge(acked));
+        sim.wipe_disk(leader);
 
-        expect_that!(world.settle(), ok(anything()), "{commands} commands");
+        expect_that!(sim.settle(), ok(anything()), "{commands} commands");
     }
 }
 
-/// Symptom: a system wakes up without its configuration and takes commands. Sequence:
-/// two of three disks are lost at once, more than can be survived; their empty
-/// replicas start while the third is down. Cause: they form a log of their own.
+/// Guards against a system that starts without its configuration and accepts commands: two of three
+/// disks are lost at once, more than can be survived, and their replicas start with empty disks
+/// while the third is down. The cause would be that they create a new log.
 #[gtest]
 fn two_empty_disks_never_form_a_new_log() {
-    let (mut world, leader, [a, b]) = formed();
-    world.act(&Action::Crash(leader, false)).unwrap();
-    world.empty(a);
-    world.empty(b);
-
-    world.run(3000).unwrap();
-
-    expect_that!(world.leader(), none());
-    world.act(&Action::Start(leader)).unwrap();
-    world.run(3000).unwrap();
-    expect_that!(world.replica(a).commit(), le(world.acked()));
-    expect_that!(world.leader(), none());
+    let (mut sim, leader, [a, b]) = with_leader();
+    sim.apply(&Action::Crash(leader, false)).unwrap();
+    sim.wipe_disk(a);
+    sim.wipe_disk(b);
+
+    sim.run(3000).unwrap();
+
+    expect_that!(sim.leader(), none());
+    sim.apply(&Action::Start(leader)).unwrap();
+    sim.run(3000).unwrap();
+    expect_that!(sim.replica(a).commit(), le(sim.acked()));
+    expect_that!(sim.leader(), none());
 }
 
-/// Symptom: two leaders hold a lease at once. Sequence: one follower cannot hear the
-/// leader and asks for votes; the other one, which had just answered the leader,
-/// restarts and is asked first. Cause: it forgot what it answered and votes at once.
+/// Guards against two leaders with a lease at once. One follower gets no messages from the leader
+/// and requests votes; the other one, which has just answered the leader, restarts and gets the
+/// request first. The cause would be that it has forgotten its answer and votes at once.
 #[gtest]
 fn a_restarted_voter_waits_out_the_lease_it_may_have_answered() {
-    let (mut world, leader, [deaf, restarting]) = formed();
-    world.act(&Action::CutPair(leader, deaf)).unwrap();
-    world.run(60).unwrap();
+    let (mut sim, leader, [deaf, restarting]) = with_leader();
+    sim.apply(&Action::PartitionPair(leader, deaf)).unwrap();
+    sim.run(60).unwrap();
     for steps in 0..300 {
-        world.run(5 + steps % 13).unwrap();
-        world.act(&Action::Crash(restarting, false)).unwrap();
-        world.act(&Action::Start(restarting)).unwrap();
+        sim.run(5 + steps % 13).unwrap();
+        sim.apply(&Action::Crash(restarting, false)).unwrap();
+        sim.apply(&Action::Start(restarting)).unwrap();
     }
 }
 
-/// Symptom: two majorities that do not overlap. Sequence: a member is removed and
-/// another added before the first change is committed. Cause: changes are not taken
-/// one at a time.
+/// Guards against two majorities that do not overlap: a member is removed and another added before
+/// the first change is committed. The cause would be that changes are not made one at a time.
 #[gtest]
 fn a_second_change_of_members_waits_for_the_first() {
-    let (mut world, leader, [a, b]) = formed();
-    world.act(&Action::Cut(leader)).unwrap();
+    let (mut sim, leader, [a, b]) = with_leader();
+    sim.apply(&Action::Isolate(leader)).unwrap();
     let name = |i: usize| format!("c{i}");
 
-    let first = world.replica(leader).remove(&name(a));
-    let second = world.replica(leader).remove(&name(b));
+    let first = sim.replica(leader).remove(&name(a));
+    let second = sim.replica(leader).remove(&name(b));
 
     expect_that!(first, ok(anything()));
     expect_that!(second, err(eq(&Error::ChangeUnderWay)));
@@ -133,9 +133,9 @@
     }
 }
 
-/// Symptom: a committed command is replaced. Sequence: a leader of term 4 finds an
-/// entry of term 2 on a majority; a replica with an entry of term 3 could still win
-/// and replace it. Cause: entries of older terms are committed by counting.
+/// Guards against the replacement of a committed command. A leader of term 4 finds an entry of term
+/// 2 on a majority, but a replica with an entry of term 3 could still win an election and replace
+/// it. The cause would be that entries of earlier terms are committed by counting.
 #[gtest]
 fn an_entry_of_an_older_term_is_not_committed_by_counting() {
     let member = |n: &str| {
@@ -149,10 +149,10 @@
         )
     };
     let members: Members = ["a", "bb", "ccc"].map(member).into_iter().collect();
-    let setup = Setup {
+    let config = ReplicaConfig {
         id: "a".into(),
         identity: 1,
-        first: members,
+        initial_members: members,
         timing: Timing::default(),
         seed: 1,
     };
@@ -161,12 +161,12 @@
         ..Restored::default()
     };
     restored.hard.term = 3;
-    let mut leader = Quorum::new(setup, restored, Duration::ZERO);
+    let mut leader = Replica::new(config, restored, Duration::ZERO);
     let mut now = Duration::from_secs(2);
     leader.tick(now);
-    for trial in [true, false] {
-        let kind = Kind::VoteAnswer {
-            trial,
+    for pre_vote in [true, false] {
+        let kind = Kind::VoteResponse {
+            pre_vote,
             granted: true,
         };
         leader.receive(
@@ -182,7 +182,7 @@
     expect_that!(leader.role(), eq(Role::Leader));
     now += Duration::from_millis(10);
 
-    let answer = |index| Kind::AppendAnswer {
+    let answer = |index| Kind::AppendResponse {
         accepted: true,
         index,
         round: 1,
--- a/crates/quorum/tests/schedules.rs
+++ b/crates/quorum/tests/schedules.rs
@@ -1,5 +1,5 @@
-//! The promises of the log under random schedules of faults; seeds are fixed here
-//! and free in `cargo bench -p bn-quorum`.
+//! The guarantees of the log under random schedules of faults; the seeds are fixed here and random
+//! in `cargo bench -p bn-quorum`.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -7,14 +7,13 @@
 mod simulation;
 
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use simulation::{play, schedules};
+use simulation::{run_schedule, schedules};
 
 const CASES: u32 = 1000;
 
-/// Symptom: an acknowledged command is missing or another stands in its place, two
-/// replicas lead one term, or two hold a lease at once. Sequence: any mix of delay,
-/// loss, doubling, crash before the sync, silent cuts and an emptied disk. Cause:
-/// whatever rule of the agreement is broken.
+/// Guards against lost or replaced acknowledged commands, two leaders in a term and two leases at
+/// once, under any mix of delay, loss, duplication, crashes before the sync, silent partitions and
+/// an emptied disk. A failure means that a rule of the protocol is broken.
 #[test]
 fn acknowledged_commands_survive_any_schedule() {
     let config = Config {
@@ -25,7 +24,7 @@
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, rng);
 
-    let outcome = runner.run(&schedules(), |(seed, actions)| play(seed, &actions));
+    let outcome = runner.run(&schedules(), |(seed, actions)| run_schedule(seed, &actions));
 
     if let Err(e) = outcome {
         panic!("{e}");
--- a/crates/quorum/tests/simulation/mod.rs
+++ b/crates/quorum/tests/simulation/mod.rs
@@ -1,10 +1,10 @@
-//! Replicas under a random schedule of faults: a manual clock that runs at another
-//! rate at each replica, a network that delays, loses, doubles and reorders, disks
-//! that keep what was synced. The checks run after every step.
+//! Simulates replicas under a random schedule of faults: a manual clock with a different rate at
+//! each replica, a network that delays, loses, duplicates and reorders messages, and disks that
+//! keep what was synced. The checks run after every step.
 
 use bn_quorum::{
-    Change, Entry, Index, JoinAsk, Member, Members, Message, Payload, Quorum, Restored, Role,
-    Setup, Snapshot, Term, Timing, Upkeep,
+    Change, Entry, Index, JoinRequest, Member, Members, Membership, Message, Payload, Replica,
+    ReplicaConfig, Restored, Role, Snapshot, Term, Timing,
 };
 use proptest::prelude::{Just, Strategy, any, prop_oneof};
 use proptest::test_runner::TestCaseError;
@@ -13,55 +13,55 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
-/// Replicas of random schedules.
+/// Replicas in random schedules.
 const REPLICAS: usize = 3;
 const STEP: Duration = Duration::from_millis(10);
 const SETTLE_STEPS: usize = 1500;
-/// Entries that stay in memory behind a snapshot, as with coordinators: others get the snapshot.
-const KEPT: u64 = 3;
+/// Entries kept in memory behind a snapshot, as in coordinators: others get the snapshot.
+const RETAINED_ENTRIES: u64 = 3;
 
 /// One event of a schedule.
 #[derive(Debug, Clone)]
 pub(crate) enum Action {
-    /// Time passes, in steps of 10 ms.
+    /// Run this many steps of 10 ms.
     Run(u16),
-    /// A command goes to whoever says it leads.
+    /// Propose a command to each replica that considers itself the leader.
     Propose,
-    /// Power off; with `true`, between deciding and syncing.
+    /// Power off; with `true`, before the pending output is synced.
     Crash(usize, bool),
     /// Power on.
     Start(usize),
-    /// Silent cut, both ways.
-    Cut(usize),
-    /// Silent cut, outgoing only.
-    Mute(usize),
-    /// Silent cut between two only, so that a third hears both.
-    CutPair(usize, usize),
-    /// All cuts end; what was held is delivered late.
+    /// Silently partition one replica from all others, both ways.
+    Isolate(usize),
+    /// Silently block one replica's outgoing messages only.
+    BlockOutgoing(usize),
+    /// Silently partition two replicas from each other, so that a third still reaches both.
+    PartitionPair(usize, usize),
+    /// End all partitions; messages held back are delivered late.
     Heal,
-    /// One message in so many is lost, and as many are doubled.
-    Lose(u8),
-    /// The disk is emptied and the replica starts again; only where no other repair
-    /// is under way, since two empty disks of three are more than was promised.
-    Empty(usize),
-    /// A snapshot is taken.
+    /// Lose this percentage of messages and duplicate as many.
+    PacketLoss(u8),
+    /// Empty the disk and restart the replica; only if no other repair is in progress, since two
+    /// empty disks of three are more than the log is designed to survive.
+    WipeDisk(usize),
+    /// Take a snapshot.
     Compact(usize),
 }
 
 pub(crate) fn schedules() -> impl Strategy<Value = (u64, Vec<Action>)> {
-    let who = 0..REPLICAS;
+    let replica = 0..REPLICAS;
     let action = prop_oneof![
         8 => (1u16..150).prop_map(Action::Run),
         6 => Just(Action::Propose),
-        2 => (who.clone(), any::<bool>()).prop_map(|(i, b)| Action::Crash(i, b)),
-        3 => who.clone().prop_map(Action::Start),
-        2 => who.clone().prop_map(Action::Cut),
-        1 => who.clone().prop_map(Action::Mute),
-        3 => (who.clone(), who.clone()).prop_map(|(a, b)| Action::CutPair(a, b)),
+        2 => (replica.clone(), any::<bool>()).prop_map(|(i, b)| Action::Crash(i, b)),
+        3 => replica.clone().prop_map(Action::Start),
+        2 => replica.clone().prop_map(Action::Isolate),
+        1 => replica.clone().prop_map(Action::BlockOutgoing),
+        3 => (replica.clone(), replica.clone()).prop_map(|(a, b)| Action::PartitionPair(a, b)),
         2 => Just(Action::Heal),
-        1 => (0u8..30).prop_map(Action::Lose),
-        2 => who.clone().prop_map(Action::Empty),
-        1 => who.prop_map(Action::Compact),
+        1 => (0u8..30).prop_map(Action::PacketLoss),
+        2 => replica.clone().prop_map(Action::WipeDisk),
+        1 => replica.prop_map(Action::Compact),
     ];
     (any::<u64>(), proptest::collection::vec(action, 10..80))
 }
@@ -72,33 +72,33 @@
     restored: Restored,
 }
 
-struct Flight {
+struct InFlight {
     at: Duration,
     from: usize,
     to: usize,
-    parcel: Parcel,
+    packet: Packet,
 }
 
 #[derive(Clone)]
-enum Parcel {
+enum Packet {
     Quorum(Message),
-    Join(JoinAsk),
+    Join(JoinRequest),
 }
 
-/// How many replicas there are, and what they know of each other at first.
+/// Number of replicas, and what they know of each other at the start.
 #[derive(Clone, Copy)]
-pub(crate) struct Size {
+pub(crate) struct ClusterConfig {
     pub(crate) replicas: usize,
-    /// The first so many form the log, and are all that any knows at its start.
+    /// Number of initial members, the only ones that any replica knows at its start.
     pub(crate) seeds: usize,
-    /// Losses that the log has to bear at once.
+    /// Simultaneous losses that the log must tolerate.
     pub(crate) losses: usize,
     pub(crate) timing: Timing,
 }
 
-impl Default for Size {
-    fn default() -> Size {
-        Size {
+impl Default for ClusterConfig {
+    fn default() -> ClusterConfig {
+        ClusterConfig {
             replicas: REPLICAS,
             seeds: REPLICAS,
             losses: 1,
@@ -107,33 +107,33 @@
     }
 }
 
-pub(crate) struct World {
-    size: Size,
+pub(crate) struct Simulation {
+    config: ClusterConfig,
     rng: SmallRng,
     now: Duration,
-    rates: Vec<f64>,
-    running: Vec<Option<Quorum>>,
-    upkeep: Vec<Upkeep>,
+    clock_rates: Vec<f64>,
+    running: Vec<Option<Replica>>,
+    membership: Vec<Membership>,
     disks: Vec<Disk>,
-    flights: Vec<Flight>,
-    cut: HashSet<(usize, usize)>,
-    loss: u8,
+    in_flight: Vec<InFlight>,
+    blocked: HashSet<(usize, usize)>,
+    loss_percent: u8,
     proposed: u64,
     leaders: HashMap<Term, usize>,
     committed: BTreeMap<Index, Entry>,
     /// Highest index that a leader acknowledged to a client.
     acked: Index,
-    /// Changes of members that leaders began.
+    /// Membership changes that leaders started.
     pub(crate) changes: Vec<Change>,
 }
 
-pub(crate) fn play(seed: u64, actions: &[Action]) -> Result<(), TestCaseError> {
-    let mut world = World::new(seed);
-    world.run(200)?;
+pub(crate) fn run_schedule(seed: u64, actions: &[Action]) -> Result<(), TestCaseError> {
+    let mut sim = Simulation::new(seed);
+    sim.run(200)?;
     for action in actions {
-        world.act(action)?;
+        sim.apply(action)?;
     }
-    world.settle()
+    sim.settle()
 }
 
 fn name(i: usize) -> String {
@@ -144,29 +144,29 @@
     name.trim_start_matches('c').parse().unwrap()
 }
 
-impl World {
-    pub(crate) fn new(seed: u64) -> World {
-        World::of(Size::default(), seed)
+impl Simulation {
+    pub(crate) fn new(seed: u64) -> Simulation {
+        Simulation::with_config(ClusterConfig::default(), seed)
     }
 
-    pub(crate) fn of(size: Size, seed: u64) -> World {
+    pub(crate) fn with_config(config: ClusterConfig, seed: u64) -> Simulation {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let all = 0..size.replicas;
-        let rates = all.clone().map(|_| rng.random_range(0.92..1.08)).collect();
-        let mut world = World {
-            size,
+        let all = 0..config.replicas;
+        let clock_rates = all.clone().map(|_| rng.random_range(0.92..1.08)).collect();
+        let mut sim = Simulation {
+            config,
             rng,
             now: Duration::ZERO,
-            rates,
+            clock_rates,
             running: all.clone().map(|_| None).collect(),
-            upkeep: all
+            membership: all
                 .clone()
-                .map(|i| Upkeep::new(&name(i), size.losses))
+                .map(|i| Membership::new(&name(i), config.losses))
                 .collect(),
             disks: all.clone().map(|_| Disk::default()).collect(),
-            flights: Vec::new(),
-            cut: HashSet::new(),
-            loss: 0,
+            in_flight: Vec::new(),
+            blocked: HashSet::new(),
+            loss_percent: 0,
             proposed: 0,
             leaders: HashMap::new(),
             committed: BTreeMap::new(),
@@ -174,17 +174,17 @@
             changes: Vec::new(),
         };
         let first = Snapshot {
-            members: world.first_members(),
+            members: sim.first_members(),
             ..Snapshot::default()
         };
         for i in all {
-            world.disks[i].identity = world.rng.random::<u64>() | 1;
-            if i < size.seeds {
-                world.disks[i].restored.snapshot = Some(first.clone());
+            sim.disks[i].identity = sim.rng.random::<u64>() | 1;
+            if i < config.seeds {
+                sim.disks[i].restored.snapshot = Some(first.clone());
             }
-            world.start(i);
+            sim.start(i);
         }
-        world
+        sim
     }
 
     fn first_members(&self) -> Members {
@@ -196,56 +196,56 @@
             };
             (name(n), member)
         };
-        (0..self.size.seeds).map(member).collect()
+        (0..self.config.seeds).map(member).collect()
     }
 
     fn all(&self) -> std::ops::Range<usize> {
-        0..self.size.replicas
+        0..self.config.replicas
     }
 
     pub(crate) fn clock(&self, i: usize) -> Duration {
-        self.now.mul_f64(self.rates[i])
+        self.now.mul_f64(self.clock_rates[i])
     }
 
     fn start(&mut self, i: usize) {
-        let setup = Setup {
+        let config = ReplicaConfig {
             id: name(i),
             identity: self.disks[i].identity,
-            first: Members::new(),
-            timing: self.size.timing,
+            initial_members: Members::new(),
+            timing: self.config.timing,
             seed: self.rng.random(),
         };
         let restored = self.disks[i].restored.clone();
-        self.running[i] = Some(Quorum::new(setup, restored, self.clock(i)));
-        self.upkeep[i] = Upkeep::new(&name(i), self.size.losses);
+        self.running[i] = Some(Replica::new(config, restored, self.clock(i)));
+        self.membership[i] = Membership::new(&name(i), self.config.losses);
     }
 
-    pub(crate) fn act(&mut self, action: &Action) -> Result<(), TestCaseError> {
+    pub(crate) fn apply(&mut self, action: &Action) -> Result<(), TestCaseError> {
         match *action {
             Action::Run(steps) => self.run(usize::from(steps))?,
             Action::Propose => self.propose()?,
             Action::Crash(i, unsynced) => {
                 if !unsynced {
-                    self.flush(i)?;
+                    self.process_output(i)?;
                 }
                 self.running[i] = None;
             }
             Action::Start(i) if self.running[i].is_none() => self.start(i),
             Action::Start(_) => {}
-            Action::Cut(i) => self.cut_all(i, true),
-            Action::Mute(i) => self.cut_all(i, false),
-            Action::CutPair(a, b) => self.cut.extend([(a, b), (b, a)]),
-            Action::Heal => self.cut.clear(),
-            Action::Lose(percent) => self.loss = percent,
-            Action::Empty(i) if self.repaired() => self.empty(i),
-            Action::Empty(_) => {}
+            Action::Isolate(i) => self.block_all(i, true),
+            Action::BlockOutgoing(i) => self.block_all(i, false),
+            Action::PartitionPair(a, b) => self.blocked.extend([(a, b), (b, a)]),
+            Action::Heal => self.blocked.clear(),
+            Action::PacketLoss(percent) => self.loss_percent = percent,
+            Action::WipeDisk(i) if self.repaired() => self.wipe_disk(i),
+            Action::WipeDisk(_) => {}
             Action::Compact(i) => self.compact(i),
         }
         Ok(())
     }
 
-    /// Empties a disk, whatever else is under way.
-    pub(crate) fn empty(&mut self, i: usize) {
+    /// Empties a disk and restarts its replica, regardless of other repairs in progress.
+    pub(crate) fn wipe_disk(&mut self, i: usize) {
         let identity = self.rng.random::<u64>() | 1;
         self.disks[i] = Disk {
             identity,
@@ -254,42 +254,42 @@
         self.start(i);
     }
 
-    /// Who leads: under its lease, where there are leases.
+    /// The leader: if leases are used, the one that holds the lease.
     pub(crate) fn leader(&self) -> Option<usize> {
-        let leased = !self.size.timing.lease.is_zero();
+        let leased = !self.config.timing.lease.is_zero();
         let leads = |i: &usize| {
             let now = self.clock(*i);
             self.running[*i].as_ref().is_some_and(|q| match leased {
-                true => q.may_grant(now),
+                true => q.holds_lease(now),
                 false => q.role() == Role::Leader && q.is_current(now, Duration::ZERO),
             })
         };
-        let term = |i: &usize| self.running[*i].as_ref().map(Quorum::term);
+        let term = |i: &usize| self.running[*i].as_ref().map(Replica::term);
         self.all().filter(leads).max_by_key(term)
     }
 
-    /// All that run vote, and all of them agree on it.
+    /// Whether all running replicas are voters, and all of them agree on it.
     pub(crate) fn all_vote(&self) -> bool {
         let running = || self.all().filter(|i| self.running[*i].is_some());
-        let votes = |q: &Quorum, i: usize| {
+        let votes = |q: &Replica, i: usize| {
             let me = q.members().get(&name(i));
             me.is_some_and(|m| m.voter && m.identity == self.disks[i].identity)
         };
         let agrees = |i: usize| {
             let q = self.running[i].as_ref();
-            q.is_some_and(|q| q.members_settled() && running().all(|j| votes(q, j)))
+            q.is_some_and(|q| q.members_committed() && running().all(|j| votes(q, j)))
         };
         self.leader().is_some() && running().all(agrees)
     }
 
-    /// Steps of 10 ms until all that run vote; `most` where that takes longer.
-    pub(crate) fn steps_until_all_vote(&mut self, most: usize) -> usize {
-        let steps = (0..most).take_while(|_| !self.all_vote() && self.run(1).is_ok());
+    /// Steps of 10 ms until all running replicas are voters; `max_steps` if that takes longer.
+    pub(crate) fn steps_until_all_vote(&mut self, max_steps: usize) -> usize {
+        let steps = (0..max_steps).take_while(|_| !self.all_vote() && self.run(1).is_ok());
         steps.count()
     }
 
-    /// The replica, where it runs.
-    pub(crate) fn replica(&mut self, i: usize) -> &mut Quorum {
+    /// The running replica `i`.
+    pub(crate) fn replica(&mut self, i: usize) -> &mut Replica {
         self.running[i].as_mut().unwrap()
     }
 
@@ -298,16 +298,16 @@
         self.acked
     }
 
-    fn cut_all(&mut self, i: usize, both: bool) {
+    fn block_all(&mut self, i: usize, both: bool) {
         for other in self.all().filter(|o| *o != i) {
-            self.cut.insert((i, other));
+            self.blocked.insert((i, other));
             if both {
-                self.cut.insert((other, i));
+                self.blocked.insert((other, i));
             }
         }
     }
 
-    /// Every voter that the latest leader counts on still has the disk it counts on.
+    /// Whether all replicas are committed voters of the latest leader with the disks it knows.
     pub(crate) fn repaired(&self) -> bool {
         let leader = self
             .running
@@ -318,9 +318,11 @@
             return false;
         };
         let members = leader.members();
-        let held =
+        let intact =
             |(id, m): (&String, &Member)| m.voter && m.identity == self.disks[number(id)].identity;
-        leader.members_settled() && members.len() == self.size.replicas && members.iter().all(held)
+        leader.members_committed()
+            && members.len() == self.config.replicas
+            && members.iter().all(intact)
     }
 
     pub(crate) fn propose(&mut self) -> Result<(), TestCaseError> {
@@ -330,7 +332,7 @@
             if let Some(q) = self.running[i].as_mut() {
                 let _ = q.propose(command.clone());
             }
-            self.flush(i)?;
+            self.process_output(i)?;
         }
         Ok(())
     }
@@ -341,7 +343,7 @@
         };
         let index = q.commit();
         let state = index.to_le_bytes().to_vec();
-        if let Some(snapshot) = q.compact_keeping(index, state, KEPT) {
+        if let Some(snapshot) = q.compact_keeping(index, state, RETAINED_ENTRIES) {
             let disk = &mut self.disks[i].restored;
             disk.entries.retain(|e| e.index > index);
             disk.snapshot = Some(snapshot);
@@ -357,9 +359,9 @@
                 if let Some(q) = self.running[i].as_mut() {
                     q.tick(now);
                 }
-                self.flush(i)?;
-                self.repair(i);
-                self.flush(i)?;
+                self.process_output(i)?;
+                self.tick_membership(i);
+                self.process_output(i)?;
             }
             self.check_leases()?;
         }
@@ -367,35 +369,35 @@
     }
 
     fn deliver(&mut self) -> Result<(), TestCaseError> {
-        let (now, cut) = (self.now, self.cut.clone());
-        let ready = |f: &Flight| f.at <= now && !cut.contains(&(f.from, f.to));
-        let (due, held) = std::mem::take(&mut self.flights)
+        let (now, blocked) = (self.now, self.blocked.clone());
+        let ready = |f: &InFlight| f.at <= now && !blocked.contains(&(f.from, f.to));
+        let (due, held) = std::mem::take(&mut self.in_flight)
             .into_iter()
             .partition(ready);
-        self.flights = held;
-        let due: Vec<Flight> = due;
+        self.in_flight = held;
+        let due: Vec<InFlight> = due;
         for f in due {
             let at = self.clock(f.to);
-            match (self.running[f.to].as_mut(), f.parcel) {
-                (Some(q), Parcel::Quorum(message)) => q.receive(at, &name(f.from), message),
-                (Some(q), Parcel::Join(ask)) => {
-                    if let Some((to, ask)) = self.upkeep[f.to].on_ask(q, ask) {
-                        self.post(f.to, number(&to), Parcel::Join(ask));
+            match (self.running[f.to].as_mut(), f.packet) {
+                (Some(q), Packet::Quorum(message)) => q.receive(at, &name(f.from), message),
+                (Some(q), Packet::Join(request)) => {
+                    if let Some((to, request)) = self.membership[f.to].on_join_request(q, request) {
+                        self.send(f.to, number(&to), Packet::Join(request));
                     }
                 }
                 (None, _) => {}
             }
-            self.flush(f.to)?;
+            self.process_output(f.to)?;
         }
         Ok(())
     }
 
-    /// Syncs, then sends, then applies, as the contract asks.
-    fn flush(&mut self, i: usize) -> Result<(), TestCaseError> {
+    /// Syncs, then sends, then applies, as [`Output`] requires.
+    fn process_output(&mut self, i: usize) -> Result<(), TestCaseError> {
         let Some(q) = self.running[i].as_mut() else {
             return Ok(());
         };
-        let out = q.take();
+        let out = q.take_output();
         let (role, term) = (q.role(), q.term());
         let disk = &mut self.disks[i].restored;
         if let Some(hard) = out.hard {
@@ -405,12 +407,12 @@
             disk.entries.clear();
             disk.snapshot = Some(snapshot);
         }
-        if let Some(from) = out.cut_from {
+        if let Some(from) = out.truncate_from {
             disk.entries.retain(|e| e.index < from);
         }
         disk.entries.extend(out.append);
         for (to, message) in out.messages {
-            self.post(i, number(&to), Parcel::Quorum(message));
+            self.send(i, number(&to), Packet::Quorum(message));
         }
         for entry in out.committed {
             self.check_commit(entry, role == Role::Leader)?;
@@ -424,42 +426,42 @@
         Ok(())
     }
 
-    fn post(&mut self, from: usize, to: usize, parcel: Parcel) {
+    fn send(&mut self, from: usize, to: usize, packet: Packet) {
         let copies = match self.rng.random_range(0..100u8) {
-            n if n < self.loss => 0,
-            n if n < self.loss.saturating_mul(2) => 2,
+            n if n < self.loss_percent => 0,
+            n if n < self.loss_percent.saturating_mul(2) => 2,
             _ => 1,
         };
         for _ in 0..copies {
             let delay = Duration::from_millis(self.rng.random_range(1..40));
             let at = self.now + delay;
-            self.flights.push(Flight {
+            self.in_flight.push(InFlight {
                 at,
                 from,
                 to,
-                parcel: parcel.clone(),
+                packet: packet.clone(),
             });
         }
     }
 
-    /// What a coordinator does about the members.
-    fn repair(&mut self, i: usize) {
+    /// Manages the membership as a coordinator does.
+    fn tick_membership(&mut self, i: usize) {
         let now = self.clock(i);
         let Some(q) = self.running[i].as_mut() else {
             return;
         };
-        let turn = self.upkeep[i].turn(now, q);
-        self.changes.extend(turn.change);
-        let Some(ask) = turn.ask else {
+        let output = self.membership[i].tick(now, q);
+        self.changes.extend(output.change);
+        let Some(request) = output.join_request else {
             return;
         };
-        // All that this one knows: the members, where it knows any, and the seeds.
+        // All replicas known to this one: the members, if it knows any, and the seeds.
         let members = q.members().keys().map(|id| number(id));
-        let mut known: Vec<usize> = members.chain(0..self.size.seeds).collect();
+        let mut known: Vec<usize> = members.chain(0..self.config.seeds).collect();
         known.sort_unstable();
         known.dedup();
         for to in known.into_iter().filter(|to| *to != i) {
-            self.post(i, to, Parcel::Join(ask.clone()));
+            self.send(i, to, Packet::Join(request.clone()));
         }
     }
 
@@ -485,7 +487,7 @@
         let holds = |i: &usize| {
             self.running[*i]
                 .as_ref()
-                .is_some_and(|q| q.may_grant(self.clock(*i)))
+                .is_some_and(|q| q.holds_lease(self.clock(*i)))
         };
         let holders: Vec<_> = self.all().filter(holds).collect();
         if holders.len() > 1 {
@@ -494,10 +496,10 @@
         Ok(())
     }
 
-    /// All faults end; everything acknowledged must be everywhere.
+    /// Ends all faults and checks that every replica gets everything acknowledged.
     pub(crate) fn settle(&mut self) -> Result<(), TestCaseError> {
-        self.cut.clear();
-        self.loss = 0;
+        self.blocked.clear();
+        self.loss_percent = 0;
         for i in self.all() {
             if self.running[i].is_none() {
                 self.start(i);
@@ -507,25 +509,25 @@
         self.propose()?;
         self.run(100)?;
         for i in self.all() {
-            let reached = self.running[i].as_ref().map_or(0, Quorum::commit);
+            let reached = self.running[i].as_ref().map_or(0, Replica::commit);
             if reached <= self.acked.saturating_sub(1) {
                 return fail(format!(
-                    "replica {i} has {reached}, acknowledged {}",
+                    "replica {i} has committed up to {reached}, acknowledged up to {}",
                     self.acked
                 ));
             }
         }
         let commands = self.committed.values();
-        let kept = commands
+        let count = commands
             .filter(|e| matches!(e.payload, Payload::Command(_)))
             .count();
-        if kept == 0 {
-            return fail("the last command was not committed".into());
+        if count == 0 {
+            return fail("no command was committed".into());
         }
         Ok(())
     }
 }
 
-fn fail(what: String) -> Result<(), TestCaseError> {
-    Err(TestCaseError::fail(what))
+fn fail(message: String) -> Result<(), TestCaseError> {
+    Err(TestCaseError::fail(message))
 }
