--- a/crates/limit/src/lib.rs
+++ b/crates/limit/src/lib.rs
@@ -2,13 +2,13 @@
 //! within a priority, and queues that refuse early. Plain decisions: inputs and the
 //! time go in, verdicts come out.
 
+mod allocator;
 mod bucket;
 mod queue;
-mod split;
 
+pub use allocator::{PartAsk, Split, unasked};
 pub use bucket::{Buckets, Rate};
 pub use queue::{Queue, Waiting};
-pub use split::{PartAsk, Split, unasked};
 
 /// Name of a client account.
 pub type AccountId = String;
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -3,30 +3,30 @@
 //! health with ejection and slow return; a retry budget. Plain decisions: inputs,
 //! the time and a random number go in, a choice comes out.
 
-mod asked;
 mod backend;
-mod budget;
+mod backpressure;
+mod fill_controller;
 mod fleet;
 mod health;
-mod pace;
-mod patience;
+mod health_record;
 mod prefix;
-mod retries;
+mod retry_budget;
+mod retry_detector;
+mod retry_tokens;
 mod router;
 mod server;
-mod standing;
 
 pub use backend::{Backend, Report};
-pub use budget::Budget;
+pub use fill_controller::{Bounds, Judged, Pace, room_for};
 pub use fleet::{Fleet, Lack, Want};
 pub use health::Health;
-pub use pace::{Bounds, Judged, Pace, room_for};
-pub use patience::Patience;
+pub use health_record::Standing;
 pub use prefix::Prefixes;
-pub use retries::{Allowance, Retries};
+pub use retry_budget::{Allowance, Retries};
+pub use retry_detector::Patience;
+pub use retry_tokens::Budget;
 pub use router::{Ask, Policy, Router, least_reported, predicted};
 pub use server::{Began, Server, ServerId, Told, Unit};
-pub use standing::Standing;
 
 /// Id of a backend server.
 pub type BackendId = String;
--- a/crates/route/src/server.rs
+++ b/crates/route/src/server.rs
@@ -1,6 +1,6 @@
 //! One backend server as a gateway sees it: where it is, how it fares, what load it has.
 
-use crate::standing::Standing;
+use crate::health_record::Standing;
 use bn_backpressure::Terms;
 use indexmap::IndexMap;
 use std::net::SocketAddr;
