--- a/crates/gateway/src/place.rs
+++ b/crates/gateway/src/place.rs
@@ -10,7 +10,7 @@
 use crate::attempt::Seat;
 use crate::shared::{Shared, State};
 use crate::ticket::Ticket;
-use bn_limit::Waiting;
+use bn_limit::QueuedRequest;
 use bn_route::{Lack, Pace, ServerId, Unit, Want, room_for};
 use indexmap::IndexMap;
 use std::time::Duration;
@@ -102,12 +102,12 @@
     let now = shared.now();
     let mut state = shared.state();
     let line = state.lines.entry(ticket.service.clone()).or_default();
-    if line.holds(priority(ticket, now)) {
+    if line.has_at_least(priority(ticket, now)) {
         return Err(Lack::Room);
     }
     let seat = take(shared, &mut state, ticket, tried)?;
     if let Some(line) = state.lines.get_mut(&ticket.service) {
-        line.note_start(now);
+        line.record_start(now);
     }
     Ok(seat)
 }
@@ -203,7 +203,7 @@
     began: Duration,
 ) -> Result<Seat, Refusal> {
     let until = began + patience(ticket, began);
-    let waiting = Waiting {
+    let waiting = QueuedRequest {
         id: rand::random(),
         account: ticket.account.clone().unwrap_or_default(),
         priority: priority(ticket, began),
@@ -249,7 +249,7 @@
 }
 
 impl<'a> Spot<'a> {
-    fn join(shared: &'a Shared, ticket: &'a Ticket, waiting: Waiting) -> Option<Spot<'a>> {
+    fn join(shared: &'a Shared, ticket: &'a Ticket, waiting: QueuedRequest) -> Option<Spot<'a>> {
         let id = waiting.id;
         let now = shared.now();
         let joined = {
@@ -269,13 +269,13 @@
         let now = self.shared.now();
         let service = &self.ticket.service;
         let mut state = self.shared.state();
-        let first = state.lines.get(service)?.order().first().copied();
+        let first = state.lines.get(service)?.start_order().first().copied();
         if first != Some(self.id) {
             return None;
         }
         let seat = take(self.shared, &mut state, self.ticket, tried).ok()?;
         if let Some(line) = state.lines.get_mut(service) {
-            line.started(now, self.id);
+            line.start(now, self.id);
         }
         Some(seat)
     }
@@ -285,7 +285,7 @@
     fn drop(&mut self) {
         let mut state = self.shared.state();
         if let Some(line) = state.lines.get_mut(&self.ticket.service) {
-            line.remove(|w| w.id == self.id);
+            line.remove_if(|w| w.id == self.id);
         }
     }
 }
--- a/crates/limit/src/allocator.rs
+++ b/crates/limit/src/allocator.rs
@@ -1,104 +1,104 @@
-//! The leader's side: an account's rate is split over entries by demand. A part that
-//! was given holds until its lease ends, so a part only grows by what others gave back
-//! or let lapse; the sum never passes the rate.
+//! Leader side: splits an account's rate across entries by demand. A granted share is valid until
+//! its lease ends, so a share grows only by what others returned or let expire; the sum never
+//! exceeds the rate.
 
 use crate::{AccountId, EntryId};
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// Every entry keeps this part of an equal share, so that a first request passes.
-const FLOOR: f64 = 0.25;
-/// An entry gets this much more than it asked for, so that demand can grow.
+/// Fraction of an equal share that every entry keeps, so that a first request is admitted.
+const MIN_SHARE: f64 = 0.25;
+/// Factor by which a share exceeds the requested demand, so that demand can grow.
 const HEADROOM: f64 = 1.2;
 
-/// An entry's request for its part of an account's rate.
+/// An entry's request for its share of an account's rate.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct PartAsk<'a> {
-    /// The account.
+pub struct ShareRequest<'a> {
+    /// Client account.
     pub account: &'a str,
-    /// The entry.
+    /// Entry.
     pub entry: &'a str,
-    /// Requests a second that came there.
+    /// Requests per second received there.
     pub demand: f64,
-    /// The account's rate over all entries.
+    /// The account's rate across all entries.
     pub rate: f64,
-    /// How many entries there are.
+    /// Number of entries.
     pub entries: usize,
-    /// When the part lapses.
+    /// Expiry of the share.
     pub until: Duration,
-    /// Number of this asking, growing for each entry.
-    pub number: u64,
-    /// Number of the latest asking whose answer the entry acts on.
-    pub acted: u64,
+    /// Sequence number of this request, increasing per entry.
+    pub sequence: u64,
+    /// Sequence number of the latest request whose answer the entry has applied.
+    pub applied: u64,
 }
 
-/// A part that was given and that the entry may act on.
+/// A granted share that the entry may be using.
 #[derive(Debug, Clone, Copy)]
-struct Given {
-    number: u64,
+struct Grant {
+    sequence: u64,
     rate: f64,
     until: Duration,
 }
 
 #[derive(Debug, Clone, Default)]
-struct Part {
+struct EntryShare {
     demand: f64,
-    /// An answer may be lost, and the entry then acts on an earlier one: all count
-    /// until the entry says which it acts on, or they lapse.
-    given: Vec<Given>,
+    /// An answer may be lost, and the entry then uses an earlier one: all count until the entry
+    /// reports which one it has applied, or they expire.
+    grants: Vec<Grant>,
 }
 
-impl Part {
-    /// The most that the entry may use.
-    fn most(&self, floor: f64) -> f64 {
-        self.given.iter().map(|g| g.rate).fold(floor, f64::max)
+impl EntryShare {
+    /// Highest rate that the entry may use.
+    fn max_rate(&self, floor: f64) -> f64 {
+        self.grants.iter().map(|g| g.rate).fold(floor, f64::max)
     }
 }
 
-/// The parts of all accounts, as one leader gave them.
+/// Shares of all accounts, as granted by one leader.
 #[derive(Debug, Clone, Default)]
-pub struct Split {
-    accounts: IndexMap<AccountId, IndexMap<EntryId, Part>>,
+pub struct RateAllocator {
+    accounts: IndexMap<AccountId, IndexMap<EntryId, EntryShare>>,
 }
 
-impl Split {
-    /// Gives an entry its part, in requests a second. What entries use unasked is set
-    /// aside for each of them.
-    pub fn ask(&mut self, now: Duration, ask: &PartAsk<'_>) -> f64 {
-        let floor = unasked(ask.rate, ask.entries);
-        let parts = self.accounts.entry(ask.account.into()).or_default();
-        for part in parts.values_mut() {
-            part.given.retain(|g| now < g.until);
+impl RateAllocator {
+    /// Grants an entry its share, in requests per second. The default share of each entry is
+    /// reserved.
+    pub fn allocate(&mut self, now: Duration, request: &ShareRequest<'_>) -> f64 {
+        let floor = default_share(request.rate, request.entries);
+        let shares = self.accounts.entry(request.account.into()).or_default();
+        for share in shares.values_mut() {
+            share.grants.retain(|g| now < g.until);
         }
-        let own = parts.entry(ask.entry.into()).or_default();
-        own.demand = ask.demand;
-        own.given.retain(|g| g.number >= ask.acted);
-        parts.retain(|entry, p| entry == ask.entry || !p.given.is_empty());
-        let wanted: f64 = parts.values().map(|p| p.demand * HEADROOM).sum();
-        let above = (ask.rate - floor * ask.entries as f64).max(0.0);
-        let portion = if wanted > 0.0 {
-            ask.demand * HEADROOM / wanted
+        let own = shares.entry(request.entry.into()).or_default();
+        own.demand = request.demand;
+        own.grants.retain(|g| g.sequence >= request.applied);
+        shares.retain(|entry, s| entry == request.entry || !s.grants.is_empty());
+        let wanted: f64 = shares.values().map(|s| s.demand * HEADROOM).sum();
+        let shareable = (request.rate - floor * request.entries as f64).max(0.0);
+        let fraction = if wanted > 0.0 {
+            request.demand * HEADROOM / wanted
         } else {
             0.0
         };
-        let fair = floor + above * portion.min(1.0);
-        // Others keep what they were given; those that asked nothing, their floor.
-        let others = parts.iter().filter(|(entry, _)| *entry != ask.entry);
-        let kept: f64 = others.map(|(_, p)| p.most(floor)).sum();
-        let silent = ask.entries.saturating_sub(parts.len()) as f64 * floor;
-        let rate = fair.min((ask.rate - silent - kept).max(0.0));
-        if let Some(own) = parts.get_mut(ask.entry) {
-            own.given.push(Given {
-                number: ask.number,
+        let fair = floor + shareable * fraction.min(1.0);
+        // Others keep their grants; entries that made no request keep their default share.
+        let others = shares.iter().filter(|(entry, _)| *entry != request.entry);
+        let granted: f64 = others.map(|(_, s)| s.max_rate(floor)).sum();
+        let idle_reserve = request.entries.saturating_sub(shares.len()) as f64 * floor;
+        let rate = fair.min((request.rate - idle_reserve - granted).max(0.0));
+        if let Some(own) = shares.get_mut(request.entry) {
+            own.grants.push(Grant {
+                sequence: request.sequence,
                 rate,
-                until: ask.until,
+                until: request.until,
             });
         }
         rate
     }
 }
 
-/// What an entry may use of an account's rate before it was given a part.
-pub fn unasked(rate: f64, entries: usize) -> f64 {
-    FLOOR * rate / entries.max(1) as f64
+/// Rate of an account that an entry may use without a grant.
+pub fn default_share(rate: f64, entries: usize) -> f64 {
+    MIN_SHARE * rate / entries.max(1) as f64
 }
--- a/crates/limit/src/bucket.rs
+++ b/crates/limit/src/bucket.rs
@@ -1,82 +1,87 @@
-//! One entry's part of each account's rate, as token buckets.
+//! One entry's share of each account's rate, as token buckets.
 
 use crate::AccountId;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time whose requests a bucket holds: how bursty an account may be at one entry.
+/// Period whose requests a bucket holds: limits an account's bursts at one entry.
 const BURST: Duration = Duration::from_millis(250);
-/// A bucket holds at least so many requests, or small parts would admit nothing.
-const LEAST: f64 = 1.0;
-/// Weight of the newest look at demand.
-const ALPHA: f64 = 0.5;
+/// Minimum bucket size in requests; without it, small shares would admit nothing.
+const MIN_TOKENS: f64 = 1.0;
+/// Weight of the latest measurement of demand.
+const DEMAND_WEIGHT: f64 = 0.5;
 
-/// Requests a second that this entry may admit for an account, until a time.
+/// Requests per second that this entry may admit for an account, until a time.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Rate {
-    /// Requests a second.
+pub struct RateGrant {
+    /// Requests per second.
     pub rate: f64,
-    /// The lease of this part ends then; past that nothing is admitted.
+    /// End of the share's lease; after it the grant admits nothing.
     pub until: Duration,
 }
 
 #[derive(Debug, Clone, Default)]
 struct Bucket {
-    part: Option<Rate>,
-    saved: f64,
-    at: Duration,
-    /// Requests that came since the last look.
-    came: u64,
+    grant: Option<RateGrant>,
+    tokens: f64,
+    refilled_at: Duration,
+    /// Requests received since the last measurement.
+    arrivals: u64,
     demand: f64,
 }
 
-/// The buckets of one entry.
+/// Token buckets of one entry.
 #[derive(Debug, Clone, Default)]
-pub struct Buckets {
+pub struct TokenBuckets {
     accounts: HashMap<AccountId, Bucket>,
-    looked: Duration,
+    measured_at: Duration,
 }
 
-impl Buckets {
-    /// Takes the part that the leader gave.
-    pub fn grant(&mut self, account: &str, part: Rate) {
-        self.accounts.entry(account.into()).or_default().part = Some(part);
+impl TokenBuckets {
+    /// Applies the share granted by the leader.
+    pub fn grant(&mut self, account: &str, grant: RateGrant) {
+        self.accounts.entry(account.into()).or_default().grant = Some(grant);
     }
 
-    /// Admits a request, or says when to come back. An account without a part yet is
-    /// given `first`, its equal part: it is what every entry may use unasked.
-    pub fn admit(&mut self, now: Duration, account: &str, first: f64) -> Result<(), Duration> {
+    /// Admits a request, or returns when to retry. An account without a grant yet is given
+    /// `default_rate`, its equal share, which every entry may use without a grant.
+    pub fn admit(
+        &mut self,
+        now: Duration,
+        account: &str,
+        default_rate: f64,
+    ) -> Result<(), Duration> {
         let bucket = self.accounts.entry(account.into()).or_default();
-        bucket.came += 1;
-        let rate = match bucket.part {
-            Some(part) if now < part.until => part.rate,
-            _ => first,
+        bucket.arrivals += 1;
+        let rate = match bucket.grant {
+            Some(grant) if now < grant.until => grant.rate,
+            _ => default_rate,
         };
-        let passed = now.saturating_sub(bucket.at).as_secs_f64();
-        let most = (rate * BURST.as_secs_f64()).max(LEAST);
-        bucket.saved = (bucket.saved + passed * rate).min(most);
-        bucket.at = now;
-        if bucket.saved >= 1.0 {
-            bucket.saved -= 1.0;
+        let elapsed = now.saturating_sub(bucket.refilled_at).as_secs_f64();
+        let max_tokens = (rate * BURST.as_secs_f64()).max(MIN_TOKENS);
+        bucket.tokens = (bucket.tokens + elapsed * rate).min(max_tokens);
+        bucket.refilled_at = now;
+        if bucket.tokens >= 1.0 {
+            bucket.tokens -= 1.0;
             return Ok(());
         }
-        let wait = (1.0 - bucket.saved) / rate.max(1e-3);
+        let wait = (1.0 - bucket.tokens) / rate.max(1e-3);
         Err(Duration::from_secs_f64(wait.min(60.0)))
     }
 
-    /// Demand of each account since the last look, in requests a second, smoothed.
-    /// Accounts without demand are left out, and forgotten.
-    pub fn demand(&mut self, now: Duration) -> Vec<(AccountId, f64)> {
-        let passed = now.saturating_sub(self.looked).as_secs_f64().max(1e-3);
-        self.looked = now;
+    /// Demand of each account since the last call, in requests per second, smoothed. Accounts
+    /// without demand are left out and dropped.
+    pub fn take_demand(&mut self, now: Duration) -> Vec<(AccountId, f64)> {
+        let elapsed = now.saturating_sub(self.measured_at).as_secs_f64().max(1e-3);
+        self.measured_at = now;
         for bucket in self.accounts.values_mut() {
-            bucket.demand += ALPHA * (bucket.came as f64 / passed - bucket.demand);
-            bucket.came = 0;
+            bucket.demand += DEMAND_WEIGHT * (bucket.arrivals as f64 / elapsed - bucket.demand);
+            bucket.arrivals = 0;
         }
         self.accounts
-            .retain(|_, b| b.demand > 0.05 || b.part.is_some_and(|p| now < p.until));
-        let asked = self.accounts.iter().filter(|(_, b)| b.demand > 0.05);
-        asked
+            .retain(|_, b| b.demand > 0.05 || b.grant.is_some_and(|g| now < g.until));
+        let active = self.accounts.iter().filter(|(_, b)| b.demand > 0.05);
+        active
             .map(|(account, b)| (account.clone(), b.demand))
             .collect()
     }
--- a/crates/limit/src/queue.rs
+++ b/crates/limit/src/queue.rs
@@ -1,168 +1,178 @@
-//! Requests that wait for room: urgent first, fair shares of the accounts within a
-//! priority, bounded, and refused early when they cannot start in time.
+//! Requests waiting for capacity: ordered by priority, with fair shares of the accounts within a
+//! priority, bounded, and refused early if they cannot start in time.
 
 use crate::AccountId;
 use indexmap::IndexMap;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Waiting {
-    /// Its number.
+pub struct QueuedRequest {
+    /// Request number.
     pub id: u64,
-    /// Its account.
+    /// Client account.
     pub account: AccountId,
-    /// Larger goes first.
+    /// Higher values go first.
     pub priority: u32,
-    /// The account's weight among others of the priority.
+    /// Weight of the account among others of the same priority.
     pub share: u32,
-    /// It is of no use later.
+    /// Latest useful start.
     pub deadline: Duration,
 }
 
 #[derive(Debug, Clone, Default)]
-struct Line {
-    waiting: VecDeque<Waiting>,
-    /// Service received, over the share; the account with the least goes next.
+struct AccountQueue {
+    waiting: VecDeque<QueuedRequest>,
+    /// Service received over the share; the account with the lowest value goes next.
     served: f64,
 }
 
 /// Waiting requests of one service.
 #[derive(Debug, Clone, Default)]
 pub struct Queue {
-    lines: IndexMap<(u32, AccountId), Line>,
-    /// Service that the account served last had had: where a new account starts.
-    floor: IndexMap<u32, f64>,
-    length: usize,
-    /// Seconds between starts, smoothed, and when the last one was.
-    gap: f64,
-    last: Option<Duration>,
+    queues: IndexMap<(u32, AccountId), AccountQueue>,
+    /// `served` of the last served account before that service: where a new account starts.
+    virtual_time: IndexMap<u32, f64>,
+    len: usize,
+    /// Smoothed interval between starts in seconds, and the time of the last start.
+    start_gap: f64,
+    last_start: Option<Duration>,
 }
 
-/// A quiet time says nothing of how fast requests can start: it counts as this, in
-/// seconds.
-const LONGEST_GAP: f64 = 0.5;
-/// Weight of the newest gap between starts.
-const ALPHA: f64 = 0.05;
+/// Idle time does not tell how fast requests can start: longer intervals count as this, in seconds.
+const MAX_START_GAP: f64 = 0.5;
+/// Weight of the latest interval between starts.
+const GAP_WEIGHT: f64 = 0.05;
 
 impl Queue {
-    /// Waiting requests.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
-        self.length
+        self.len
     }
 
-    /// Nothing waits.
+    /// Whether no request is waiting.
     pub fn is_empty(&self) -> bool {
-        self.length == 0
+        self.len == 0
     }
 
-    /// Something waits that goes before, or beside, what has this priority.
-    pub fn holds(&self, priority: u32) -> bool {
-        let rivals = self.lines.iter().filter(|((p, _), _)| *p >= priority);
-        rivals.map(|(_, l)| l).any(|l| !l.waiting.is_empty())
+    /// Whether a request of this or a higher priority is waiting.
+    pub fn has_at_least(&self, priority: u32) -> bool {
+        let rivals = self.queues.iter().filter(|((p, _), _)| *p >= priority);
+        rivals.map(|(_, q)| q).any(|q| !q.waiting.is_empty())
     }
 
-    /// Takes a request in, or says how long it would wait if that is past its
-    /// deadline or the queue is full.
-    pub fn push(&mut self, now: Duration, entry: Waiting, most: usize) -> Result<(), Duration> {
-        let wait = self.expected_wait(&entry);
-        if self.length >= most || now + wait > entry.deadline {
+    /// Enqueues a request, or returns its expected wait if that exceeds its deadline or the queue
+    /// is full.
+    pub fn push(
+        &mut self,
+        now: Duration,
+        request: QueuedRequest,
+        max_len: usize,
+    ) -> Result<(), Duration> {
+        let wait = self.expected_wait(&request);
+        if self.len >= max_len || now + wait > request.deadline {
             return Err(wait);
         }
-        let floor = self.floor.get(&entry.priority).copied().unwrap_or(0.0);
-        let line = self
-            .lines
-            .entry((entry.priority, entry.account.clone()))
+        let virtual_time = self
+            .virtual_time
+            .get(&request.priority)
+            .copied()
+            .unwrap_or(0.0);
+        let queue = self
+            .queues
+            .entry((request.priority, request.account.clone()))
             .or_default();
-        if line.waiting.is_empty() {
-            // Time without requests earns nothing.
-            line.served = line.served.max(floor);
+        if queue.waiting.is_empty() {
+            // Idle accounts accumulate no credit.
+            queue.served = queue.served.max(virtual_time);
         }
-        line.waiting.push_back(entry);
-        self.length += 1;
+        queue.waiting.push_back(request);
+        self.len += 1;
         Ok(())
     }
 
-    /// How long a request would wait: those before it, at the pace of late.
-    pub fn expected_wait(&self, entry: &Waiting) -> Duration {
-        let ahead = |((priority, account), line): (&(u32, AccountId), &Line)| {
-            let waiting = line.waiting.len() as f64;
-            match priority.cmp(&entry.priority) {
+    /// Expected wait of a request: the requests ahead of it, at the recent rate of starts.
+    pub fn expected_wait(&self, request: &QueuedRequest) -> Duration {
+        let ahead = |((priority, account), queue): (&(u32, AccountId), &AccountQueue)| {
+            let waiting = queue.waiting.len() as f64;
+            match priority.cmp(&request.priority) {
                 std::cmp::Ordering::Greater => waiting,
                 std::cmp::Ordering::Less => 0.0,
-                std::cmp::Ordering::Equal if *account == entry.account => waiting,
-                // Of another account only its share of the starts meanwhile.
+                std::cmp::Ordering::Equal if *account == request.account => waiting,
+                // Another account only gets its share of the starts in the meantime.
                 std::cmp::Ordering::Equal => {
-                    let own = self.lines.get(&(entry.priority, entry.account.clone()));
-                    let mine = own.map_or(0, |l| l.waiting.len()) as f64 + 1.0;
-                    let shares = line.waiting.front().map_or(1, |e| e.share.max(1));
-                    waiting.min(mine * f64::from(shares) / f64::from(entry.share.max(1)))
+                    let own = self
+                        .queues
+                        .get(&(request.priority, request.account.clone()));
+                    let own_len = own.map_or(0, |q| q.waiting.len()) as f64 + 1.0;
+                    let shares = queue.waiting.front().map_or(1, |r| r.share.max(1));
+                    waiting.min(own_len * f64::from(shares) / f64::from(request.share.max(1)))
                 }
             }
         };
-        let before: f64 = self.lines.iter().map(ahead).sum();
-        Duration::from_secs_f64((before * self.gap).min(3600.0))
+        let before: f64 = self.queues.iter().map(ahead).sum();
+        Duration::from_secs_f64((before * self.start_gap).min(3600.0))
     }
 
-    /// The next request to try, and the one after it if the first finds no room, and
-    /// so on: by priority, then the account that had least for its share.
-    pub fn order(&self) -> Vec<u64> {
-        let mut lines: Vec<_> = self
-            .lines
+    /// Ids in the order in which to try them while the earlier ones find no capacity: by priority,
+    /// then by least service relative to share.
+    pub fn start_order(&self) -> Vec<u64> {
+        let mut queues: Vec<_> = self
+            .queues
             .iter()
-            .filter(|(_, l)| !l.waiting.is_empty())
+            .filter(|(_, q)| !q.waiting.is_empty())
             .collect();
-        lines.sort_by(|((pa, _), a), ((pb, _), b)| pb.cmp(pa).then(a.served.total_cmp(&b.served)));
-        lines
+        queues.sort_by(|((pa, _), a), ((pb, _), b)| pb.cmp(pa).then(a.served.total_cmp(&b.served)));
+        queues
             .into_iter()
-            .filter_map(|(_, l)| l.waiting.front().map(|e| e.id))
+            .filter_map(|(_, q)| q.waiting.front().map(|r| r.id))
             .collect()
     }
 
-    /// A request started: counts as service to its account.
-    pub fn started(&mut self, now: Duration, id: u64) {
+    /// Dequeues a request that has started, and counts it as service to its account.
+    pub fn start(&mut self, now: Duration, id: u64) {
         let found = self
-            .lines
+            .queues
             .iter_mut()
-            .find(|(_, l)| l.waiting.front().is_some_and(|e| e.id == id));
-        let Some(((priority, _), line)) = found else {
+            .find(|(_, q)| q.waiting.front().is_some_and(|r| r.id == id));
+        let Some(((priority, _), queue)) = found else {
             return;
         };
-        let Some(entry) = line.waiting.pop_front() else {
+        let Some(request) = queue.waiting.pop_front() else {
             return;
         };
-        let floor = line.served;
-        line.served += 1.0 / f64::from(entry.share.max(1));
-        self.floor.insert(*priority, floor);
-        self.length -= 1;
-        self.note_start(now);
+        let virtual_time = queue.served;
+        queue.served += 1.0 / f64::from(request.share.max(1));
+        self.virtual_time.insert(*priority, virtual_time);
+        self.len -= 1;
+        self.record_start(now);
     }
 
-    /// A start that did not wait here counts towards the pace too.
-    pub fn note_start(&mut self, now: Duration) {
-        if let Some(last) = self.last {
-            let gap = now.saturating_sub(last).as_secs_f64().min(LONGEST_GAP);
-            self.gap += ALPHA * (gap - self.gap);
+    /// Counts a start towards the rate of starts, also of a request that was not queued.
+    pub fn record_start(&mut self, now: Duration) {
+        if let Some(last) = self.last_start {
+            let gap = now.saturating_sub(last).as_secs_f64().min(MAX_START_GAP);
+            self.start_gap += GAP_WEIGHT * (gap - self.start_gap);
         }
-        self.last = Some(now);
+        self.last_start = Some(now);
     }
 
-    /// Takes out requests for which `over` says so, such as past deadlines.
-    pub fn remove(&mut self, mut over: impl FnMut(&Waiting) -> bool) -> Vec<u64> {
-        let mut gone = Vec::new();
-        for line in self.lines.values_mut() {
-            line.waiting.retain(|e| {
-                let out = over(e);
-                if out {
-                    gone.push(e.id);
+    /// Removes the requests for which `drop_if` returns `true`, such as those past their deadline.
+    pub fn remove_if(&mut self, mut drop_if: impl FnMut(&QueuedRequest) -> bool) -> Vec<u64> {
+        let mut removed = Vec::new();
+        for queue in self.queues.values_mut() {
+            queue.waiting.retain(|r| {
+                let drop = drop_if(r);
+                if drop {
+                    removed.push(r.id);
                 }
-                !out
+                !drop
             });
         }
-        self.length -= gone.len();
-        self.lines
-            .retain(|_, l| !l.waiting.is_empty() || l.served > 0.0);
-        gone
+        self.len -= removed.len();
+        self.queues
+            .retain(|_, q| !q.waiting.is_empty() || q.served > 0.0);
+        removed
     }
 }
--- a/crates/node/src/control/lease.rs
+++ b/crates/node/src/control/lease.rs
@@ -3,7 +3,7 @@
 
 use super::Control;
 use crate::clock::ms;
-use bn_limit::{PartAsk, Split};
+use bn_limit::{RateAllocator, ShareRequest};
 use bn_quorum::Payload;
 use bn_wire::messages::envelope::Body;
 use bn_wire::messages::{AccountRate, LeaseAsk, LeaseGrant, LogEntry};
@@ -29,14 +29,14 @@
 pub(crate) struct Leases {
     holders: IndexMap<String, Holder>,
     since: Duration,
-    split: Split,
+    split: RateAllocator,
 }
 
 impl Leases {
     /// A new leader: leases of an earlier one are unknown and may hold for a while.
     pub(crate) fn start(&mut self, now: Duration) {
         self.holders.clear();
-        self.split = Split::default();
+        self.split = RateAllocator::default();
         self.since = now;
     }
 
@@ -138,17 +138,17 @@
             let Some(account) = self.state.accounts.get(&asked.account) else {
                 continue;
             };
-            let part = PartAsk {
+            let part = ShareRequest {
                 account: &asked.account,
                 entry,
                 demand: f64::from(asked.rate),
                 rate: account.rate,
                 entries,
                 until: now + LEASE,
-                number: ask.sent_ms,
-                acted: ask.acted_ms,
+                sequence: ask.sent_ms,
+                applied: ask.acted_ms,
             };
-            let rate = self.leases.split.ask(now, &part) as f32;
+            let rate = self.leases.split.allocate(now, &part) as f32;
             parts.push(AccountRate {
                 account: asked.account.clone(),
                 rate,
--- a/crates/node/src/entry/admit.rs
+++ b/crates/node/src/entry/admit.rs
@@ -4,7 +4,7 @@
 use super::request::{Phase, Request};
 use crate::caller::{Answer, Arrival};
 use crate::verdict::Refusal;
-use bn_limit::unasked;
+use bn_limit::default_share;
 use std::time::Duration;
 
 /// When a caller should try another entry.
@@ -74,7 +74,7 @@
         }
         let repeatable = service.repeatable && arrival.idempotency.is_none();
         let (name, rate) = (name.clone(), account.rate);
-        let first = unasked(rate, self.state.entries.len());
+        let first = default_share(rate, self.state.entries.len());
         self.buckets.admit(now, &name, first).map_err(|wait| {
             metrics::counter!("limited", "account" => name.clone()).increment(1);
             Refusal::not_run(429, "this account's rate is used up").retry(wait)
--- a/crates/node/src/entry/dispatch.rs
+++ b/crates/node/src/entry/dispatch.rs
@@ -4,7 +4,7 @@
 use super::request::{Attempt, Phase};
 use crate::clock::ms;
 use crate::verdict::{Refusal, Verdict};
-use bn_limit::Waiting;
+use bn_limit::QueuedRequest;
 use bn_route::Ask;
 use bn_state::Priority;
 use bn_wire::messages::envelope::Body;
@@ -54,7 +54,7 @@
         match picked {
             Some(backend) => {
                 if let Some(queue) = self.queues.get_mut(&ask.service) {
-                    queue.note_start(now);
+                    queue.record_start(now);
                 }
                 self.dispatch(id, &backend);
                 true
@@ -77,7 +77,7 @@
             .accounts
             .get(&request.account)
             .map_or(1, |a| a.share);
-        let waiting = Waiting {
+        let waiting = QueuedRequest {
             id,
             account: request.account.clone(),
             priority: request.arrival.priority as u32,
@@ -114,7 +114,7 @@
             self.drop_ended(&service);
             while let Some(id) = self.start_next(&service) {
                 if let Some(queue) = self.queues.get_mut(&service) {
-                    queue.started(now, id);
+                    queue.start(now, id);
                 }
             }
         }
@@ -131,12 +131,12 @@
                     .get(id)
                     .is_some_and(|r| matches!(r.phase, Phase::Queued))
             };
-            queue.remove(|w| !waits(&w.id));
+            queue.remove_if(|w| !waits(&w.id));
         }
     }
 
     fn start_next(&mut self, service: &str) -> Option<u64> {
-        let order = self.queues.get(service)?.order();
+        let order = self.queues.get(service)?.start_order();
         // What the first in line has tried already may still have room for others.
         order.into_iter().find(|id| {
             self.ask_of(*id)
--- a/crates/node/src/entry/lease.rs
+++ b/crates/node/src/entry/lease.rs
@@ -2,7 +2,7 @@
 
 use super::Entry;
 use crate::clock::{ms, wall};
-use bn_limit::Rate;
+use bn_limit::RateGrant;
 use bn_state::{Command, State};
 use bn_wire::messages::envelope::Body;
 use bn_wire::messages::log_entry::Kind;
@@ -123,7 +123,11 @@
             account,
             rate: rate as f32,
         };
-        self.buckets.demand(now).into_iter().map(rate).collect()
+        self.buckets
+            .take_demand(now)
+            .into_iter()
+            .map(rate)
+            .collect()
     }
 
     pub(super) fn on_grant(&mut self, grant: LeaseGrant) {
@@ -153,7 +157,7 @@
             self.lease.acted_ms = self.lease.acted_ms.max(grant.sent_ms);
             for part in grant.parts {
                 let rate = f64::from(part.rate);
-                self.buckets.grant(&part.account, Rate { rate, until });
+                self.buckets.grant(&part.account, RateGrant { rate, until });
             }
             if self.lease.leader.is_none() {
                 self.lease.leader = self.lease.target();
--- a/crates/node/src/entry/mod.rs
+++ b/crates/node/src/entry/mod.rs
@@ -18,7 +18,7 @@
 use crate::run::Common;
 use bn_claim::Holder;
 use bn_conf::Entry as Conf;
-use bn_limit::{Buckets, Queue};
+use bn_limit::{Queue, TokenBuckets};
 use bn_route::{Budget, Policy, Router};
 use bn_state::State;
 use bn_wire::messages::Envelope;
@@ -70,7 +70,7 @@
     attempts: HashMap<AttemptId, request::Attempt>,
     /// Requests that wait for room, by service.
     queues: IndexMap<String, Queue>,
-    buckets: Buckets,
+    buckets: TokenBuckets,
     claims: HashMap<u64, RequestId>,
     holder: Holder,
     calls: HashMap<u64, operators::Open>,
@@ -100,7 +100,7 @@
             requests: HashMap::new(),
             attempts: HashMap::new(),
             queues: IndexMap::new(),
-            buckets: Buckets::default(),
+            buckets: TokenBuckets::default(),
             claims: HashMap::new(),
             calls: HashMap::new(),
             last_number: 0,
