--- a/crates/gateway/src/asked.rs
+++ b/crates/gateway/src/asked.rs
@@ -37,7 +37,7 @@
         let draw = rand::random();
         let news = state
             .fleet
-            .asked(now, &server.id, server.began, &answer, draw);
+            .record_answer(now, &server.id, server.start_time, &answer, draw);
         let terms = state.fleet.get(&server.id).map(|s| &s.terms);
         let limit = terms.map(|t| t.limit()).unwrap_or_default();
         (news, limit, terms.and_then(|t| t.gap()))
@@ -50,7 +50,7 @@
     shared.lines.put(
         "backend_server_asked",
         json!({
-            "id": server.id, "began": server.began, "request": ticket.id, "status": status,
+            "id": server.id, "began": server.start_time, "request": ticket.id, "status": status,
             "limit": asked.limit, "rest_ms": asked.rest.map(millis), "leaving": asked.leaving,
             "unread": asked.unread, "own": answer.own, "held_limit": limit.rate,
             "turn": limit.turn, "gap_ms": gap.map(millis), "before_ms": millis(before),
@@ -63,7 +63,7 @@
     let now = shared.now();
     let (news, gap) = {
         let fleet = &mut shared.state().fleet;
-        let news = fleet.learn_limit(now, &record.id, record.limit, rand::random());
+        let news = fleet.merge_limit(now, &record.id, record.limit, rand::random());
         (news, fleet.get(&record.id).and_then(|s| s.terms.gap()))
     };
     if news {
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -4,7 +4,7 @@
 use crate::shared::Shared;
 use crate::ticket::{Ticket, text};
 use bn_platform::header;
-use bn_route::{Server, Told};
+use bn_route::{LoadReport, Server};
 use bn_serve::client::{self, Connection};
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -30,8 +30,8 @@
 
 impl Drop for Seat {
     fn drop(&mut self) {
-        let Server { id, began, .. } = &self.server;
-        self.shared.state().fleet.ended(id, *began);
+        let Server { id, start_time, .. } = &self.server;
+        self.shared.state().fleet.record_end(id, *start_time);
         self.shared.room.notify_waiters();
     }
 }
@@ -158,13 +158,13 @@
 fn tell_load(shared: &Shared, server: &Server, headers: &HeaderMap) {
     let told = text(headers, header::LOAD).and_then(bn_platform::load);
     if let Some(load) = told {
-        let told = Told {
+        let told = LoadReport {
             running: load.running,
             waiting: load.waiting,
             slots: load.slots,
         };
         let now = shared.now();
-        shared.state().fleet.told(now, &server.id, told);
+        shared.state().fleet.record_load(now, &server.id, told);
     }
 }
 
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -23,7 +23,7 @@
 
 /// Time over which the rate of requests is a mean: some seconds, so that chance is not told.
 const RATE_OVER: Duration = Duration::from_secs(5);
-/// Pace of a sound backend server, and of one whose pace is not known.
+/// FillController of a sound backend server, and of one whose pace is not known.
 const SOUND: u32 = 100;
 /// Requests a second below which a gateway counts as one without any.
 const LEAST_RATE: f64 = 0.05;
@@ -135,7 +135,7 @@
     fn ask_next(&mut self) {
         let now = self.shared.now();
         self.shared.pool.sweep(now);
-        let held = self.shared.state().fleet.held(now);
+        let held = self.shared.state().fleet.throttled_count(now);
         metrics::gauge!("backend_servers_held").set(held as f64);
         self.tell_limits();
         if let Some(inbox) = self.sources.turn() {
@@ -146,7 +146,7 @@
     /// Tells coordinators of limits that their registrations don't say.
     fn tell_limits(&self) {
         let now = self.shared.now();
-        let limits = self.shared.state().fleet.limits_to_tell(now);
+        let limits = self.shared.state().fleet.limits_to_report(now);
         if limits.is_empty() {
             return;
         }
@@ -283,7 +283,7 @@
                 };
                 let now = self.shared.now();
                 let mut state = self.shared.state();
-                state.fleet.follow_choice(now, share, rand::random);
+                state.fleet.set_gateways(now, share, rand::random);
                 state.named = named;
             }
             Err(e) => log::warn!("a choice of gateways: {e}"),
@@ -311,11 +311,11 @@
             (condition, Some(address)) => {
                 let (id, service) = (&record.id, &record.service);
                 let mut server = Server::new(id, service, address, &record.domain, record.slots);
-                server.began = record.began;
-                server.join(&record.group);
+                server.start_time = record.began;
+                server.join_group(&record.group);
                 server.leaving = condition == Condition::Draining;
-                server.pace = f64::from(record.pace.max(SOUND)) / f64::from(SOUND);
-                state.fleet.put(server);
+                server.slowdown = f64::from(record.pace.max(SOUND)) / f64::from(SOUND);
+                state.fleet.upsert(server);
             }
         }
         drop(state);
--- a/crates/gateway/src/offer.rs
+++ b/crates/gateway/src/offer.rs
@@ -171,7 +171,7 @@
         Word::Stalled => {
             let now = shared.now();
             let mut state = shared.state();
-            state.fleet.stands_still(now, id);
+            state.fleet.mark_stalled(now, id);
             state.forget_pace_of(id);
             tries.sent += 1;
         }
@@ -191,7 +191,7 @@
 /// Notes a failure on account of a backend server.
 pub(crate) fn fail(shared: &Shared, id: &str, gravely: bool) {
     let now = shared.now();
-    let out = shared.state().fleet.failed(now, id, gravely);
+    let out = shared.state().fleet.record_failure(now, id, gravely);
     if out {
         shared.lines.put(
             "backend_server_out",
--- a/crates/gateway/src/place.rs
+++ b/crates/gateway/src/place.rs
@@ -11,7 +11,7 @@
 use crate::shared::{Shared, State};
 use crate::ticket::Ticket;
 use bn_limit::QueuedRequest;
-use bn_route::{Lack, Pace, ServerId, Unit, Want, room_for};
+use bn_route::{FillController, PickArgs, ServerId, Unavailable, Unit, fill_limit_for};
 use indexmap::IndexMap;
 use std::time::Duration;
 
@@ -66,7 +66,7 @@
     let began = shared.now();
     match try_first(shared, ticket, tried) {
         Ok(seat) => Ok(seat),
-        Err(Lack::Servers) => wait_for_servers(shared, ticket, tried, began).await,
+        Err(Unavailable::NoServers) => wait_for_servers(shared, ticket, tried, began).await,
         Err(lack) => wait_or_refuse(shared, ticket, tried, began, lack).await,
     }
 }
@@ -77,33 +77,33 @@
     ticket: &Ticket,
     tried: &[ServerId],
     began: Duration,
-    lack: Lack,
+    lack: Unavailable,
 ) -> Result<Seat, Refusal> {
     let until = began + patience(ticket, began);
     let reason = match lack {
-        Lack::Room => return wait_in_line(shared, ticket, tried, began).await,
-        Lack::Held(Some(open_at)) if open_at <= until => {
+        Unavailable::Full => return wait_in_line(shared, ticket, tried, began).await,
+        Unavailable::Throttled(Some(open_at)) if open_at <= until => {
             return wait_in_line(shared, ticket, tried, began).await;
         }
-        Lack::Still if outwaits(ticket, began) => {
+        Unavailable::Stalled if outwaits(ticket, began) => {
             return wait_in_line(shared, ticket, tried, began).await;
         }
         // It will stand for longer than any may wait.
-        Lack::Still => STILL,
-        Lack::Down => DOWN,
-        Lack::Held(_) => HELD,
-        Lack::Servers => NOBODY,
+        Unavailable::Stalled => STILL,
+        Unavailable::Down => DOWN,
+        Unavailable::Throttled(_) => HELD,
+        Unavailable::NoServers => NOBODY,
     };
     Err(refusal(shared, ticket, reason))
 }
 
 /// A place at once, unless others wait for one that do not go behind this request.
-fn try_first(shared: &Shared, ticket: &Ticket, tried: &[ServerId]) -> Result<Seat, Lack> {
+fn try_first(shared: &Shared, ticket: &Ticket, tried: &[ServerId]) -> Result<Seat, Unavailable> {
     let now = shared.now();
     let mut state = shared.state();
     let line = state.lines.entry(ticket.service.clone()).or_default();
     if line.has_at_least(priority(ticket, now)) {
-        return Err(Lack::Room);
+        return Err(Unavailable::Full);
     }
     let seat = take(shared, &mut state, ticket, tried)?;
     if let Some(line) = state.lines.get_mut(&ticket.service) {
@@ -117,20 +117,23 @@
     state: &mut State,
     ticket: &Ticket,
     tried: &[ServerId],
-) -> Result<Seat, Lack> {
+) -> Result<Seat, Unavailable> {
     let now = shared.now();
     let late = outwaits(ticket, now);
     let (paces, service) = (&state.paces, ticket.service.as_str());
     let room = |unit: &str| {
-        let streams = || known_pace(paces, unit, service).map_or(Pace::FIRST, Pace::room);
+        let streams = || {
+            known_pace(paces, unit, service)
+                .map_or(FillController::INITIAL, FillController::fill_limit)
+        };
         let room = if ticket.streams() { streams() } else { ROOM };
-        room_for(late, room)
+        fill_limit_for(late, room)
     };
-    let want = Want {
+    let want = PickArgs {
         service: &ticket.service,
         tried,
-        last: tried.len() + 1 >= ticket.route.attempts as usize,
-        room: &room,
+        final_attempt: tried.len() + 1 >= ticket.route.attempts as usize,
+        fill_limit: &room,
     };
     let picked = state.fleet.pick(now, &want, rand::random::<f64>);
     let server = picked.cloned()?;
@@ -139,13 +142,17 @@
         let unit = server.unit.clone();
         state.paces.insert(unit, pace.unwrap_or_default());
     }
-    state.fleet.sent(now, &server.id);
+    state.fleet.record_sent(now, &server.id);
     Ok(Seat::new(shared, server))
 }
 
-/// Pace of a unit. What was learnt before its backend servers told their groups counts for
+/// FillController of a unit. What was learnt before its backend servers told their groups counts for
 /// each of them.
-fn known_pace<'a>(paces: &'a IndexMap<Unit, Pace>, unit: &str, service: &str) -> Option<&'a Pace> {
+fn known_pace<'a>(
+    paces: &'a IndexMap<Unit, FillController>,
+    unit: &str,
+    service: &str,
+) -> Option<&'a FillController> {
     paces.get(unit).or_else(|| paces.get(service))
 }
 
@@ -177,7 +184,7 @@
         pause(shared).await;
         match try_first(shared, ticket, tried) {
             Ok(seat) => return Ok(seat),
-            Err(Lack::Servers) if shared.now() < until => {}
+            Err(Unavailable::NoServers) if shared.now() < until => {}
             Err(lack) => return wait_or_refuse(shared, ticket, tried, began, lack).await,
         }
     }
@@ -220,7 +227,7 @@
         if let Some(seat) = spot.advance(tried) {
             return Ok(seat);
         }
-        if !outwaits(ticket, began) && shared.state().fleet.is_still(&ticket.service) {
+        if !outwaits(ticket, began) && shared.state().fleet.is_stalled(&ticket.service) {
             return Err(refusal(shared, ticket, STILL));
         }
         // Callers must not be held for a group that was never whole, or is not coming back.
@@ -228,7 +235,10 @@
             return Err(refusal(shared, ticket, DOWN));
         }
         if shared.now() >= until {
-            let held = shared.state().fleet.is_held(shared.now(), &ticket.service);
+            let held = shared
+                .state()
+                .fleet
+                .is_throttled(shared.now(), &ticket.service);
             let reason = if held { HELD } else { FULL };
             return Err(refusal(shared, ticket, reason));
         }
@@ -301,9 +311,9 @@
     let left = ticket.left(now);
     let (still, open_at) = {
         let fleet = &shared.state().fleet;
-        let held = fleet.is_held(now, &ticket.service);
-        let open_at = fleet.open_at(&ticket.service).filter(|_| held);
-        (fleet.is_still(&ticket.service), open_at)
+        let held = fleet.is_throttled(now, &ticket.service);
+        let open_at = fleet.next_send_at(&ticket.service).filter(|_| held);
+        (fleet.is_stalled(&ticket.service), open_at)
     };
     if still {
         return latest_back(left);
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -57,7 +57,7 @@
         let failed = whole.parts.status.is_server_error();
         if !failed {
             let now = shared.now();
-            shared.state().fleet.succeeded(now, &id);
+            shared.state().fleet.record_success(now, &id);
             suspects::whole(shared, ticket);
             return Ok(response(whole));
         }
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -5,7 +5,9 @@
 use bn_directory::Named;
 use bn_limit::Queue;
 use bn_quarantine::{Table, Watch};
-use bn_route::{Allowance, Bounds, Fleet, Pace, Patience, Retries, Server, Unit};
+use bn_route::{
+    FillController, Fleet, PauseBounds, RetryAllowance, RetryBudget, RetryDetector, Server, Unit,
+};
 use bn_serve::client::Pool;
 use bn_settle::Plan;
 use bn_trace::Lines;
@@ -32,7 +34,7 @@
     pub(crate) lines: Lines,
     /// Rings when room may have come up.
     pub(crate) room: Notify,
-    pub(crate) allowance: Allowance,
+    pub(crate) allowance: RetryAllowance,
     /// Turns true when a graceful stop begins.
     pub(crate) closing: watch::Sender<bool>,
     /// The stop has come so far that nothing more is taken in.
@@ -50,15 +52,15 @@
     /// The document in force; none until a coordinator told it.
     pub(crate) plan: Option<Arc<Plan>>,
     pub(crate) fleet: Fleet,
-    pub(crate) retries: IndexMap<String, Retries>,
+    pub(crate) retries: IndexMap<String, RetryBudget>,
     /// Requests that wait for a place, by service.
     pub(crate) lines: IndexMap<String, Queue>,
     /// Room of what streams, by unit.
-    pub(crate) paces: IndexMap<Unit, Pace>,
+    pub(crate) paces: IndexMap<Unit, FillController>,
     /// When the next line on room is due.
     room_line_due: Duration,
     /// How long callers wait, by route.
-    pub(crate) patience: Patience,
+    pub(crate) patience: RetryDetector,
     /// Gateways that share the retry budget.
     pub(crate) gateways: u32,
     /// Gateways that callers are sent to.
@@ -74,7 +76,7 @@
     pub(crate) fn forget_pace_of(&mut self, id: &str) {
         let unit = self.fleet.get(id).map(|s| &s.unit);
         if let Some(pace) = unit.and_then(|u| self.paces.get_mut(u)) {
-            pace.forget();
+            pace.reset();
         }
     }
 }
@@ -90,7 +92,7 @@
 impl Shared {
     pub(crate) fn new(
         domain: &str,
-        allowance: Allowance,
+        allowance: RetryAllowance,
         lines: Lines,
         reports: mpsc::Sender<Report>,
     ) -> Shared {
@@ -101,7 +103,7 @@
             lines: IndexMap::new(),
             paces: IndexMap::new(),
             room_line_due: Duration::ZERO,
-            patience: Patience::default(),
+            patience: RetryDetector::default(),
             gateways: 1,
             named: Named::default(),
             cases: Table::default(),
@@ -186,23 +188,23 @@
         let engine = plan
             .as_ref()
             .and_then(|p| p.services().get(service)?.engine);
-        let bounds = Bounds {
-            limit,
-            idle: engine.map_or(Duration::ZERO, |e| {
-                e.idle_pass().mul_f64(fleet.slowest(unit))
+        let bounds = PauseBounds {
+            max_pause: limit,
+            idle_pass: engine.map_or(Duration::ZERO, |e| {
+                e.idle_pass().mul_f64(fleet.max_slowdown(unit))
             }),
         };
-        let judged = pace.saw(now, pause, bounds, || fleet.mean_load(now, unit));
+        let judged = pace.observe_pause(now, pause, bounds, || fleet.mean_load(now, unit));
         let Some(judged) = judged else {
             return;
         };
-        metrics::gauge!("service_room", "unit" => unit.clone()).set(judged.room);
+        metrics::gauge!("service_room", "unit" => unit.clone()).set(judged.fill_limit);
         if now < *room_line_due {
             return;
         }
         *room_line_due = now + ROOM_LINE_GAP;
         let fields = json!({
-            "service": service, "unit": unit, "room": judged.room, "load": judged.load,
+            "service": service, "unit": unit, "room": judged.fill_limit, "load": judged.load,
             "pause": judged.pause, "waiting": queues.get(service).map_or(0, Queue::len),
         });
         self.lines.put("room", fields);
@@ -212,7 +214,7 @@
     pub(crate) fn room_of(&self, service: &str) -> (Option<f64>, usize) {
         let state = self.state();
         let units = state.fleet.units_of(service).into_iter();
-        let rooms = units.filter_map(|u| state.paces.get(u).map(Pace::room));
+        let rooms = units.filter_map(|u| state.paces.get(u).map(FillController::fill_limit));
         let room = rooms.reduce(f64::max);
         (room, state.lines.get(service).map_or(0, Queue::len))
     }
@@ -220,7 +222,7 @@
     /// Whether a caller of a route that waits for `deadline` more has asked before.
     pub(crate) fn came_back(&self, route: &str, deadline: Duration) -> bool {
         let now = self.now();
-        self.state().patience.came_back(now, route, deadline)
+        self.state().patience.is_retry(now, route, deadline)
     }
 
     /// A request for `service` came in; the retry budget grows with it.
@@ -229,7 +231,7 @@
         let now = self.now();
         let mut state = self.state();
         let retries = state.retries.entry(service.into()).or_default();
-        retries.request(now, &self.allowance);
+        retries.record_request(now, &self.allowance);
     }
 
     /// Requests taken in since the start.
@@ -248,7 +250,7 @@
         let mut state = self.state();
         let gateways = state.gateways;
         let retries = state.retries.entry(service.into()).or_default();
-        retries.spend(now, &self.allowance, gateways)
+        retries.try_withdraw(now, &self.allowance, gateways)
     }
 }
 
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -5,7 +5,7 @@
 use crate::{ListenSnafu, Result, RuntimeSnafu, front};
 use bn_conf::{Gateway as Conf, Settings};
 use bn_net::Net;
-use bn_route::Allowance;
+use bn_route::RetryAllowance;
 use bn_serve::{Body, Bounds};
 use bn_trace::Lines;
 use bn_wire::messages::Role;
@@ -61,7 +61,7 @@
 
 /// Starts a gateway on its own thread.
 pub fn start(settings: &Settings, conf: &Conf, lines: Lines) -> Result<Handle> {
-    let allowance = Allowance {
+    let allowance = RetryAllowance {
         ratio: conf.retry_ratio,
         slack: conf.retry_slack,
         window: conf.retry_window,
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -58,7 +58,10 @@
     }
     let (parts, body, source) = split(*head);
     let now = shared.now();
-    shared.state().fleet.succeeded(now, &source.seat.server.id);
+    shared
+        .state()
+        .fleet
+        .record_success(now, &source.seat.server.id);
     let (pieces, taken) = mpsc::channel(RING);
     let pump = Pump {
         shared: shared.clone(),
@@ -177,7 +180,7 @@
                     let shared = &self.shared;
                     let now = shared.now();
                     shared.pool.keep(now, source.connection, source.limit);
-                    shared.state().fleet.succeeded(now, &id);
+                    shared.state().fleet.record_success(now, &id);
                     suspects::whole(shared, &self.ticket);
                     return self.note("stream_whole", &id, "");
                 }
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -47,7 +47,7 @@
     pub(crate) fn at(server: &Server) -> Run {
         let start = Start {
             id: server.id.clone(),
-            began: server.began,
+            began: server.start_time,
         };
         Run {
             start,
@@ -158,7 +158,7 @@
         let mut state = shared.state();
         // One that leaves, or is gone, ends with what it has: that is no request's doing.
         let known = state.fleet.get(&run.start.id);
-        if known.is_none_or(|s| s.leaving || s.began != run.start.began) {
+        if known.is_none_or(|s| s.leaving || s.start_time != run.start.began) {
             return;
         }
         state.watch.lost(now, &run.start, run.address, lost)
@@ -212,7 +212,7 @@
     let now = shared.now();
     let address = {
         let mut state = shared.state();
-        if !state.fleet.fell(now, &start.id, start.began) {
+        if !state.fleet.mark_terminated(now, &start.id, start.began) {
             return;
         }
         state.forget_pace_of(&start.id);
--- a/crates/node/src/entry/admit.rs
+++ b/crates/node/src/entry/admit.rs
@@ -38,7 +38,7 @@
                 let id = self.number();
                 let claims = request.arrival.idempotency.is_some();
                 self.requests.insert(id, request);
-                self.budget.earn();
+                self.budget.deposit();
                 if claims {
                     self.start_claim(id);
                 } else {
--- a/crates/node/src/entry/agents.rs
+++ b/crates/node/src/entry/agents.rs
@@ -70,7 +70,7 @@
         };
         self.answer_attach(now, from.inbox, &name, &attach);
         self.router
-            .report(now, &name, report(&profile, &attach, now));
+            .update_report(now, &name, report(&profile, &attach, now));
         let agent = Agent {
             process: from.id.clone(),
             inbox: from.inbox,
@@ -164,7 +164,7 @@
                 self.common.net.forget(agent.inbox);
             }
         }
-        for name in self.router.forget(now, FORGET) {
+        for name in self.router.remove_silent(now, FORGET) {
             self.agents.shift_remove(&name);
         }
     }
--- a/crates/node/src/entry/answers.rs
+++ b/crates/node/src/entry/answers.rs
@@ -74,7 +74,7 @@
             return;
         }
         let now = self.common.clock.now();
-        self.router.running(now, &a.backend, finish.running);
+        self.router.update_running(now, &a.backend, finish.running);
         let sent = self.requests.get(&a.request).map_or(0, |r| r.sent);
         match finish.kind() {
             Kind::Whole if finish.length == sent => self.end_whole(finish.attempt),
@@ -93,7 +93,7 @@
         let Some(a) = self.attempts.remove(&attempt) else {
             return;
         };
-        self.router.ended(now, &a.backend, attempt, Some(true));
+        self.router.record_end(now, &a.backend, attempt, Some(true));
         if let Some(request) = self.requests.remove(&a.request) {
             metrics::counter!("answers_whole", "account" => request.account.clone()).increment(1);
             request.tell(Answer::End);
@@ -107,7 +107,7 @@
         let Some(a) = self.attempts.remove(&attempt) else {
             return;
         };
-        self.router.ended(now, &a.backend, attempt, None);
+        self.router.record_end(now, &a.backend, attempt, None);
         metrics::counter!("found_full").increment(1);
         if let Some(request) = self.requests.get_mut(&a.request) {
             request.tried.retain(|b| *b != a.backend);
@@ -121,7 +121,7 @@
         let Some(a) = self.attempts.remove(&attempt) else {
             return;
         };
-        self.router.ended(now, &a.backend, attempt, None);
+        self.router.record_end(now, &a.backend, attempt, None);
         metrics::counter!("turned_away").increment(1);
         self.next_try(a.request, Verdict::NotRun, reason);
     }
--- a/crates/node/src/entry/dispatch.rs
+++ b/crates/node/src/entry/dispatch.rs
@@ -5,7 +5,7 @@
 use crate::clock::ms;
 use crate::verdict::{Refusal, Verdict};
 use bn_limit::QueuedRequest;
-use bn_route::Ask;
+use bn_route::Requirements;
 use bn_state::Priority;
 use bn_wire::messages::envelope::Body;
 use bn_wire::messages::{Cancel, Dispatch, Header};
@@ -33,9 +33,9 @@
         }
     }
 
-    fn ask_of(&self, id: u64) -> Option<Ask> {
+    fn ask_of(&self, id: u64) -> Option<Requirements> {
         let request = self.requests.get(&id)?;
-        Some(Ask {
+        Some(Requirements {
             service: request.arrival.service.clone(),
             prefix: request.arrival.prefix,
             tried: request.tried.clone(),
@@ -44,7 +44,7 @@
         })
     }
 
-    fn try_place(&mut self, id: u64, ask: &Ask) -> bool {
+    fn try_place(&mut self, id: u64, ask: &Requirements) -> bool {
         let now = self.now();
         let mut rng = self.rng.clone();
         let picked = self
@@ -63,7 +63,7 @@
         }
     }
 
-    fn wait_for_room(&mut self, id: u64, ask: &Ask) {
+    fn wait_for_room(&mut self, id: u64, ask: &Requirements) {
         let now = self.now();
         let serving = self.router.in_service(now, &ask.service);
         if serving.filter(|(b, _)| !ask.tried.contains(*b)).count() == 0 {
@@ -181,11 +181,11 @@
         let prefix = arrival.prefix;
         if self.common.net.send(agent.inbox, Body::Dispatch(message)) {
             self.attempts.insert(attempt, entry);
-            self.router.sent(now, backend, attempt, prefix);
+            self.router.record_sent(now, backend, attempt, prefix);
         } else {
             // Nothing was queued, so nothing can arrive: the same claim may try on.
-            self.router.sent(now, backend, attempt, None);
-            self.router.ended(now, backend, attempt, Some(false));
+            self.router.record_sent(now, backend, attempt, None);
+            self.router.record_end(now, backend, attempt, Some(false));
             self.next_try(id, Verdict::NotRun, "the agent's link takes nothing");
         }
     }
@@ -203,7 +203,7 @@
         let allowed = verdict == Verdict::NotRun || request.repeatable;
         let resumable = !request.head_sent || request.repeatable;
         let last = now >= request.deadline || request.abandoned();
-        if !allowed || !resumable || last || !self.budget.spend(now) {
+        if !allowed || !resumable || last || !self.budget.try_withdraw(now) {
             return self.give_up(id, 502, reason);
         }
         metrics::counter!("retries").increment(1);
@@ -224,7 +224,7 @@
             let Some(a) = self.attempts.remove(&attempt) else {
                 continue;
             };
-            self.router.ended(now, &a.backend, attempt, None);
+            self.router.record_end(now, &a.backend, attempt, None);
             if let Some(agent) = self.agents.get(&a.backend) {
                 self.common
                     .net
@@ -254,7 +254,10 @@
         let Some(a) = self.attempts.remove(&attempt) else {
             return;
         };
-        if self.router.ended(now, &a.backend, attempt, Some(false)) {
+        if self
+            .router
+            .record_end(now, &a.backend, attempt, Some(false))
+        {
             self.common
                 .events
                 .note("ejected", format!("{}: {reason}", a.backend));
--- a/crates/node/src/entry/mod.rs
+++ b/crates/node/src/entry/mod.rs
@@ -19,7 +19,7 @@
 use bn_claim::Holder;
 use bn_conf::Entry as Conf;
 use bn_limit::{Queue, TokenBuckets};
-use bn_route::{Budget, Policy, Router};
+use bn_route::{Policy, RetryTokens, Router};
 use bn_state::State;
 use bn_wire::messages::Envelope;
 use bn_wire::messages::envelope::Body;
@@ -62,7 +62,7 @@
     state: State,
     lease: lease::Lease,
     router: Router,
-    budget: Budget,
+    budget: RetryTokens,
     agents: IndexMap<String, agents::Agent>,
     /// For each backend server the entries its agent reports to, and their digest.
     attach_lists: HashMap<String, (Vec<String>, u32)>,
@@ -94,7 +94,7 @@
                 policy: Policy::named(&conf.policy),
                 ..Router::default()
             },
-            budget: Budget::default(),
+            budget: RetryTokens::default(),
             agents: IndexMap::new(),
             attach_lists: HashMap::new(),
             requests: HashMap::new(),
--- a/crates/node/src/entry/operators.rs
+++ b/crates/node/src/entry/operators.rs
@@ -194,7 +194,7 @@
                 () if self.state.drained.contains(id) => "drained",
                 () if r.leaving => "leaving",
                 () if !r.healthy => "unhealthy",
-                () if b.health.out(now) => "ejected",
+                () if b.health.is_ejected(now) => "ejected",
                 () => "silent",
             };
             vec![
@@ -207,7 +207,7 @@
                 b.load().into(),
                 f64::from(r.capacity).into(),
                 (r.tokens as f64).into(),
-                (now.saturating_sub(b.heard).as_millis() as f64).into(),
+                (now.saturating_sub(b.reported_at).as_millis() as f64).into(),
             ]
         }));
         t
--- a/crates/route/src/backend.rs
+++ b/crates/route/src/backend.rs
@@ -1,75 +1,75 @@
-//! What one entry knows of a backend server, and its load corrected for lag.
+//! An entry's view of one backend server, and its load corrected for report lag.
 
 use crate::health::Health;
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// Ends older than this are in every report by now.
-const ENDS_KEPT: Duration = Duration::from_secs(5);
+/// Every report accounts for requests that ended longer ago than this.
+const ENDED_RETENTION: Duration = Duration::from_secs(5);
 
-/// A load report, with the time on this entry's clock that it describes.
+/// A load report, with the time on this entry's clock to which it applies.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Report {
-    /// Service it belongs to.
+    /// Service of the backend server.
     pub service: String,
-    /// Lock-step group, empty for plain services.
+    /// Lock-step group; empty for plain services.
     pub group: String,
     /// Rank in the group.
     pub rank: u32,
     /// Failure domain.
     pub domain: String,
-    /// Requests that run at once.
+    /// Maximum number of concurrent requests.
     pub capacity: u32,
-    /// Requests that run.
+    /// Requests running.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests queued at the backend server.
     pub queued: u32,
     /// Tokens batched and queued.
     pub tokens: u64,
-    /// It takes no new work.
+    /// Accepts no new work.
     pub leaving: bool,
-    /// Its own checks pass.
+    /// Its own health checks pass.
     pub healthy: bool,
-    /// It can start an answer at an offset.
+    /// Can start an answer at an offset.
     pub resumes: bool,
-    /// The time the load figures describe.
+    /// Time to which the load figures apply.
     pub as_of: Duration,
 }
 
-/// A backend server as this entry sees it.
+/// A backend server as seen by this entry.
 #[derive(Debug, Clone, Default)]
 pub struct Backend {
-    /// Its latest report.
+    /// Latest report.
     pub report: Report,
-    /// When the latest report came.
-    pub heard: Duration,
-    /// Ejection and return.
+    /// When the latest report arrived.
+    pub reported_at: Duration,
+    /// Ejection and readmission.
     pub health: Health,
     last_sent: Duration,
-    /// This entry's requests there: attempt to time sent.
-    sent: HashMap<u64, Duration>,
-    /// Requests that ended lately: time sent, time ended.
-    ended: VecDeque<(Duration, Duration)>,
+    /// This entry's requests in flight there: attempt to send time.
+    in_flight: HashMap<u64, Duration>,
+    /// Recently ended requests: send time, end time.
+    recent_ends: VecDeque<(Duration, Duration)>,
 }
 
 impl Backend {
-    /// Notes a request sent.
-    pub fn send(&mut self, now: Duration, attempt: u64) {
+    /// Records that a request was sent.
+    pub fn record_sent(&mut self, now: Duration, attempt: u64) {
         self.last_sent = now;
-        self.sent.insert(attempt, now);
+        self.in_flight.insert(attempt, now);
     }
 
-    /// Notes that a request ended.
-    pub fn end(&mut self, now: Duration, attempt: u64) {
-        if let Some(sent) = self.sent.remove(&attempt) {
-            self.ended.push_back((sent, now));
+    /// Records that a request ended.
+    pub fn record_end(&mut self, now: Duration, attempt: u64) {
+        if let Some(sent) = self.in_flight.remove(&attempt) {
+            self.recent_ends.push_back((sent, now));
         }
         while self
-            .ended
+            .recent_ends
             .front()
-            .is_some_and(|(_, end)| *end + ENDS_KEPT < now)
+            .is_some_and(|(_, ended)| *ended + ENDED_RETENTION < now)
         {
-            self.ended.pop_front();
+            self.recent_ends.pop_front();
         }
     }
 
@@ -78,27 +78,27 @@
         self.last_sent
     }
 
-    /// Requests of this entry that are there now.
-    pub fn mine(&self) -> usize {
-        self.sent.len()
+    /// Number of this entry's requests in flight there.
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.len()
     }
 
-    /// Requests there now, predicted: the report, plus what was sent since it was
-    /// made, minus what was in it and ended since.
+    /// Predicted number of requests there: the report, plus those sent since, minus those that it
+    /// includes and that have ended since.
     pub fn load(&self) -> f64 {
         let as_of = self.report.as_of;
-        let since = self.sent.values().filter(|at| **at > as_of).count();
-        let over = self
-            .ended
+        let sent_since = self.in_flight.values().filter(|at| **at > as_of).count();
+        let ended_since = self
+            .recent_ends
             .iter()
-            .filter(|(sent, end)| *sent <= as_of && *end > as_of)
+            .filter(|(sent, ended)| *sent <= as_of && *ended > as_of)
             .count();
         let reported = (self.report.running + self.report.queued) as f64;
-        (reported + since as f64 - over as f64).max(self.mine() as f64)
+        (reported + sent_since as f64 - ended_since as f64).max(self.in_flight() as f64)
     }
 
     /// Load over capacity; 1 is full.
-    pub fn pressure(&self) -> f64 {
+    pub fn utilization(&self) -> f64 {
         self.load() / f64::from(self.report.capacity.max(1))
     }
 }
--- a/crates/route/src/backpressure.rs
+++ b/crates/route/src/backpressure.rs
@@ -1,71 +1,74 @@
-//! What the backend servers of a gateway ask for: taking it in, keeping to it at the moment of
-//! sending, and what others are to be told of it.
+//! Backpressure signalled by a gateway's backend servers: recording it, checking it before a
+//! request is sent, and what to report to the coordinators.
 
 use crate::fleet::Fleet;
-use crate::server::{Began, Server};
+use crate::server::{Server, StartTime};
 use bn_backpressure::{Answer, Limit, Limited, Share};
 use std::time::Duration;
 
-/// Until coordinators tell of a limit themselves, they are told it again after this.
-const TELL_AGAIN: Duration = Duration::from_secs(1);
+/// A limit is reported again at this interval until the coordinators send it back.
+const RESEND_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Fleet {
-    /// An answer of a start of a backend server came; where it asks for something else than the one
-    /// before, how long that was asked. What an earlier start asked for says nothing of this one.
-    pub fn asked(
+    /// Records an answer of a start of a backend server. Returns how long the previous directives
+    /// held if this answer's differ. Answers of an earlier start are ignored.
+    pub fn record_answer(
         &mut self,
         now: Duration,
         id: &str,
-        began: Began,
+        start_time: StartTime,
         answer: &Answer,
         draw: f64,
     ) -> Option<Duration> {
         let server = self.servers.get_mut(id);
-        let server = server.filter(|s| s.began == began)?;
+        let server = server.filter(|s| s.start_time == start_time)?;
         let before = server.terms.limit();
-        let news = server
+        let prior = server
             .terms
-            .heard(now, &server.id, answer, &self.share, draw);
+            .heard(now, &server.id, answer, &self.gateways, draw);
         server.leaving |= server.terms.is_leaving();
         if server.terms.limit() != before {
-            self.untold.insert(server.id.clone(), None);
+            self.pending_limits.insert(server.id.clone(), None);
         }
-        news
+        prior
     }
 
-    /// Coordinators tell of the limit of the start that is known; `true` where that is news.
-    pub fn learn_limit(&mut self, now: Duration, id: &str, limit: Limit, draw: f64) -> bool {
+    /// Merges a limit sent by coordinators for the known start; `true` if that changes it.
+    pub fn merge_limit(&mut self, now: Duration, id: &str, limit: Limit, draw: f64) -> bool {
         let Some(server) = self.servers.get_mut(id) else {
             return false;
         };
-        let news = server
+        let changed = server
             .terms
-            .learn(now, &server.id, limit, &self.share, draw);
+            .learn(now, &server.id, limit, &self.gateways, draw);
         match server.terms.is_told(limit.turn) {
             true => {
-                self.untold.swap_remove(id);
+                self.pending_limits.swap_remove(id);
             }
-            // They lost it: all of them have started anew, say.
+            // The coordinators lost it, for instance because all of them restarted.
             false => {
-                self.untold.entry(server.id.clone()).or_insert(None);
+                self.pending_limits.entry(server.id.clone()).or_insert(None);
             }
         }
-        news
+        changed
     }
 
-    /// Callers are sent to other gateways from now on.
-    pub fn follow_choice(&mut self, now: Duration, share: Share, mut draw: impl FnMut() -> f64) {
-        self.share = share;
+    /// Sets the gateways that callers are sent to.
+    pub fn set_gateways(&mut self, now: Duration, gateways: Share, mut draw: impl FnMut() -> f64) {
+        self.gateways = gateways;
         for server in self.servers.values_mut() {
-            server.terms.reshare(now, &server.id, &self.share, draw());
+            server
+                .terms
+                .reshare(now, &server.id, &self.gateways, draw());
         }
     }
 
-    /// Whether a request may still be sent to a backend server that was picked for it a while ago.
-    /// While it waited for a connection, an answer to another one may have said otherwise.
+    /// Whether a request may still be sent to the backend server picked for it earlier. While it
+    /// waited for a connection, another answer may have changed that.
     pub fn may_send(&mut self, now: Duration, picked: &Server) -> bool {
         let server = self.servers.get_mut(&picked.id);
-        let Some(server) = server.filter(|s| s.began == picked.began && !s.leaving) else {
+        let Some(server) = server.filter(|s| s.start_time == picked.start_time && !s.leaving)
+        else {
             return false;
         };
         if server.terms.mark() == picked.terms.mark() {
@@ -78,46 +81,48 @@
         open
     }
 
-    /// Limits that coordinators are to be told now.
-    pub fn limits_to_tell(&mut self, now: Duration) -> Vec<Limited> {
+    /// Limits that are due to be reported to the coordinators.
+    pub fn limits_to_report(&mut self, now: Duration) -> Vec<Limited> {
         let mut limits = Vec::new();
-        for (id, told) in &mut self.untold {
-            if told.is_some_and(|at| now < at + TELL_AGAIN) {
+        for (id, sent_at) in &mut self.pending_limits {
+            if sent_at.is_some_and(|at| now < at + RESEND_INTERVAL) {
                 continue;
             }
             let Some(server) = self.servers.get(id) else {
                 continue;
             };
-            *told = Some(now);
+            *sent_at = Some(now);
             limits.push(Limited {
                 id: id.clone(),
-                began: server.began,
+                began: server.start_time,
                 limit: server.terms.limit(),
             });
         }
         limits
     }
 
-    /// How many backend servers take no request of this gateway now, as they asked.
-    pub fn held(&self, now: Duration) -> usize {
+    /// Number of backend servers that accept no request of this gateway now, as they asked.
+    pub fn throttled_count(&self, now: Duration) -> usize {
         let servers = self.servers.values();
-        let held = |s: &&Server| s.terms.is_leaving() || !s.terms.is_open(now);
-        servers.filter(held).count()
+        let throttled = |s: &&Server| s.terms.is_leaving() || !s.terms.is_open(now);
+        servers.filter(throttled).count()
     }
 
-    /// Whether all of a service take no request of this gateway now, as they asked.
-    pub fn is_held(&self, now: Duration, service: &str) -> bool {
-        let mut taking = self.taking(service).peekable();
-        taking.peek().is_some() && taking.all(|s| !s.terms.is_open(now))
+    /// Whether all backend servers of a service accept no request of this gateway, as they asked.
+    pub fn is_throttled(&self, now: Duration, service: &str) -> bool {
+        let mut accepting = self.accepting(service).peekable();
+        accepting.peek().is_some() && accepting.all(|s| !s.terms.is_open(now))
     }
 
-    /// When the first backend server of a service may be sent a request; none where others send to all
-    /// of them.
-    pub fn open_at(&self, service: &str) -> Option<Duration> {
-        self.taking(service).filter_map(|s| s.terms.open_at()).min()
+    /// Earliest time at which a backend server of a service may be sent a request; `None` if only
+    /// other gateways send to them.
+    pub fn next_send_at(&self, service: &str) -> Option<Duration> {
+        self.accepting(service)
+            .filter_map(|s| s.terms.open_at())
+            .min()
     }
 
-    fn taking(&self, service: &str) -> impl Iterator<Item = &Server> {
+    fn accepting(&self, service: &str) -> impl Iterator<Item = &Server> {
         let servers = self.servers.values();
         servers.filter(move |s| s.service == service && !s.leaving)
     }
--- a/crates/route/src/fill_controller.rs
+++ b/crates/route/src/fill_controller.rs
@@ -1,162 +1,166 @@
-//! How many requests at once a lock-step group bears: worked out from the pauses between the
-//! events that its streams bring.
+//! How many concurrent requests a lock-step group can serve: derived from the pauses between the
+//! events of its streams.
 //!
-//! All ranks execute each pass together, and a pass takes longer the more requests write
-//! and the less evenly their experts lie. One pass that takes longer than the allowed pause
-//! makes every stream in flight late, so the load must stay below that with a margin; what
-//! load this is changes within a second, whenever other experts are in demand.
+//! All ranks execute each pass together, and a pass takes longer the more requests decode and the
+//! less evenly their experts are placed. One pass longer than the allowed pause makes every stream
+//! in flight late, so the load must stay below that with a margin; the load at which this happens
+//! changes within a second whenever the demand for experts shifts.
 //!
-//! A pass takes a fixed part, which the engine's operator publishes, and a part that grows
-//! with the load. What the latter is for one unit of load shows in the pauses, and gives the
-//! load at which a pass takes the time aimed at. Changing room by steps until the pauses fit
-//! needed seconds for that, and overshot each time it came back.
+//! A pass takes a fixed time, which the engine's operator publishes, and a time that grows with the
+//! load. The pauses show the latter per unit of load, which gives the load at which a pass takes
+//! the target time. Adjusting the limit in steps until the pauses fit took seconds for that, and
+//! overshot each time the limit rose again.
 
 use std::time::Duration;
 
-/// Time over which pauses are judged together: one to three passes.
+/// Window over which pauses are evaluated together: one to three passes.
 const WINDOW: Duration = Duration::from_millis(120);
-/// Pauses below which nothing is concluded; a window lasts until there are as many.
-const FEWEST: usize = 4;
-/// Part of the pauses that must stay below the limit: each stream has some 25 pauses and
-/// is late if one of them is too long.
+/// Minimum number of pauses for an evaluation; a window lasts until it has as many.
+const MIN_PAUSES: usize = 4;
+/// Fraction of the pauses that must stay below the limit: a stream has some 25 pauses and is late
+/// if one of them is too long.
 const QUANTILE: f64 = 0.9;
-/// Part of the allowed pause that a pass may take. The rest is for what is admitted before a pause is
-/// seen that it made longer.
-const AIM: f64 = 0.9;
-/// Where a pass takes longer than [`AIM`] without any load, as beside a rank of several times the usual
-/// pace, nobody can be in time. Then a pass may take this many times that: its streams are whole before
-/// their callers give up, and as many get a late answer as can.
-const LATE_AIM: f64 = 1.5;
-/// Least growth of a pass that is believed, as a part of the allowed pause: what is below
-/// is the time of reading and of the network.
-const LEAST_GROWTH: f64 = 0.05;
-/// Pauses of so many times the limit tell of a group that stood still, not of its load; streams with
-/// such pauses outlast their callers.
-const STILL: f64 = 2.5;
-/// Part of the way up to the new room that is gone a window: what was admitted shows one or
-/// two passes later. Down it goes at once.
-const UP: f64 = 0.3;
-/// Least room: one request a rank or two must always pass, else nothing is learnt.
-const LEAST: f64 = 0.25;
+/// Fraction of the allowed pause that a pass may take. The rest is for requests admitted before
+/// their effect on pauses shows.
+const TARGET: f64 = 0.9;
+/// If a pass takes longer than [`TARGET`] without load, for instance with a rank several times
+/// slower than usual, no stream can be in time. A pass may then take this many times that: its
+/// streams complete before their callers give up, and as many as possible get a late answer.
+const LATE_FACTOR: f64 = 1.5;
+/// Minimum growth of a pass that counts, as a fraction of the allowed pause: less than that is time
+/// for reading and the network.
+const MIN_GROWTH: f64 = 0.05;
+/// Pauses longer than this multiple of the limit indicate a stalled group, not its load; streams
+/// with such pauses outlast their callers.
+const STALL_RATIO: f64 = 2.5;
+/// Fraction of a rise of the fill limit that is applied per window: the effect of admitted requests
+/// shows one or two passes later. Decreases apply at once.
+const RAISE_RATE: f64 = 0.3;
+/// Minimum fill limit: a request per rank or two must always pass, or nothing can be measured.
+const MIN_FILL: f64 = 0.25;
 
-/// Part of the room that requests get which are late already. What is left is for those that can
-/// still be in time, and are worth several times as much to their callers: else those who were refused
-/// in a burst come back and keep the next ones from being in time, which are refused, and so on until
-/// long after the burst. It does not grow while nobody in time lacks room: that holds a group near its
-/// limit, where all streams are late by some pause, and keeps it there.
-const LATE_PART: f64 = 0.6;
-/// Most room: the part of it for late requests is all slots.
-const MOST: f64 = 1.0 / LATE_PART;
+/// Fraction of the fill limit for requests that are already late. The rest is kept for those that
+/// can still be in time, which are worth several times as much to their callers: otherwise callers
+/// refused in a burst retry and make the next ones late, which are refused in turn, and so on until
+/// long after the burst. The fraction does not grow while no request in time lacks capacity: that
+/// would hold a group near its limit, where every stream is late by some pause.
+const LATE_SHARE: f64 = 0.6;
+/// Maximum fill limit: the fraction of it for late requests is all slots.
+const MAX_FILL: f64 = 1.0 / LATE_SHARE;
 
-/// Load over slots up to which a request is placed where passes allow `room`. The part for late requests
-/// is one of what passes allow, which may be more than there are slots. A group whose slots are taken
-/// before its passes get long loses nothing by late requests: were they kept from the last slots, as
-/// many would be refused twice, and get no answer at all.
-pub fn room_for(late: bool, room: f64) -> f64 {
-    let part = if late { room * LATE_PART } else { room };
-    part.min(1.0)
+/// Load over slots up to which a request is placed if passes allow `fill_limit`. The fraction for
+/// late requests is taken of what passes allow, which may exceed the slots. A group that runs out
+/// of slots before its passes get long loses nothing by late requests: keeping them from the last
+/// slots would refuse as many of them a second time, without any answer.
+pub fn fill_limit_for(late: bool, fill_limit: f64) -> f64 {
+    let limit = if late {
+        fill_limit * LATE_SHARE
+    } else {
+        fill_limit
+    };
+    limit.min(1.0)
 }
 
-/// What pauses are judged by.
+/// Bounds for evaluating pauses.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Bounds {
+pub struct PauseBounds {
     /// Longest pause that is in time.
-    pub limit: Duration,
-    /// Time of a pass without load, by the slowest of the ranks.
-    pub idle: Duration,
+    pub max_pause: Duration,
+    /// Duration of a pass without load at the slowest rank.
+    pub idle_pass: Duration,
 }
 
-/// What was judged, for lines.
+/// Result of an evaluation, for structured log lines.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Judged {
-    /// Load over slots that passes allow from now on; above 1 the slots bind.
-    pub room: f64,
+pub struct FillUpdate {
+    /// Load over slots that passes allow from now on; above 1 the slots are the limit.
+    pub fill_limit: f64,
     /// Mean load over slots.
     pub load: f64,
-    /// Pause that nine in ten stayed below, as a part of the allowed one.
+    /// 90th percentile of the pauses, as a fraction of the allowed one.
     pub pause: f64,
 }
 
-/// Room of one unit: load over slots of a backend server that its passes allow.
+/// Controls a unit's fill limit: the load over slots of a backend server that its passes allow.
 #[derive(Debug, Clone)]
-pub struct Pace {
-    room: f64,
+pub struct FillController {
+    fill_limit: f64,
     pauses: Vec<f64>,
-    began: Duration,
+    window_start: Duration,
 }
 
-impl Default for Pace {
-    fn default() -> Pace {
-        Pace {
-            room: Pace::FIRST,
+impl Default for FillController {
+    fn default() -> FillController {
+        FillController {
+            fill_limit: FillController::INITIAL,
             pauses: Vec::new(),
-            began: Duration::ZERO,
+            window_start: Duration::ZERO,
         }
     }
 }
 
-impl Pace {
-    /// Room at the start, before any pause was seen, and after the group stood still: it begins with a
-    /// map that fits no demand, and all would be late if who had waited for it filled it at once.
-    pub const FIRST: f64 = LEAST;
+impl FillController {
+    /// Fill limit before any pause was seen, and after a stall: a group starts with a map that fits
+    /// no demand, and all streams would be late if waiting requests filled it at once.
+    pub const INITIAL: f64 = MIN_FILL;
 
-    /// The group stands still: what was learnt of it does not hold when it runs again.
-    pub fn forget(&mut self) {
-        self.room = Pace::FIRST;
+    /// Discards measurements from before a stall: they do not apply when the group runs again.
+    pub fn reset(&mut self) {
+        self.fill_limit = FillController::INITIAL;
         self.pauses.clear();
     }
 
-    /// Load over slots that passes allow; above 1 the slots bind.
-    pub fn room(&self) -> f64 {
-        self.room
+    /// Load over slots that passes allow; above 1 the slots are the limit.
+    pub fn fill_limit(&self) -> f64 {
+        self.fill_limit
     }
 
-    /// A stream brought an event `pause` after the one before; `load` is the mean load over
-    /// slots of the service's backend servers. Returns what was judged at the end of a window.
-    pub fn saw(
+    /// Records an event of a stream `pause` after the previous one; `load` is the mean load over
+    /// slots of the service's backend servers. Returns the result at the end of a window.
+    pub fn observe_pause(
         &mut self,
         now: Duration,
         pause: Duration,
-        bounds: Bounds,
+        bounds: PauseBounds,
         load: impl FnOnce() -> f64,
-    ) -> Option<Judged> {
-        let limit = bounds.limit.as_secs_f64();
-        if limit <= 0.0 {
+    ) -> Option<FillUpdate> {
+        let max_pause = bounds.max_pause.as_secs_f64();
+        if max_pause <= 0.0 {
             return None;
         }
-        self.pauses.push(pause.as_secs_f64() / limit);
-        // A gateway with few streams takes longer to see enough: where it began anew each
-        // window, room stayed at the least for half a second after every outage.
-        if now < self.began + WINDOW || self.pauses.len() < FEWEST {
+        self.pauses.push(pause.as_secs_f64() / max_pause);
+        // A gateway with few streams takes longer to collect enough: discarding incomplete windows
+        // kept the fill limit at the minimum for half a second after every outage.
+        if now < self.window_start + WINDOW || self.pauses.len() < MIN_PAUSES {
             return None;
         }
-        self.began = now;
-        let long = quantile(std::mem::take(&mut self.pauses))?;
-        if long > STILL {
+        self.window_start = now;
+        let high_pause = quantile(std::mem::take(&mut self.pauses))?;
+        if high_pause > STALL_RATIO {
             return None;
         }
-        let idle = bounds.idle.as_secs_f64() / limit;
-        let growth = (long - idle).max(LEAST_GROWTH);
+        let idle = bounds.idle_pass.as_secs_f64() / max_pause;
+        let growth = (high_pause - idle).max(MIN_GROWTH);
         let load = load();
-        let fits = (load * (aim(idle) - idle) / growth).clamp(LEAST, MOST);
-        let before = self.room;
-        self.room = match fits < before {
-            true => fits,
-            false => before + UP * (fits - before),
+        let fitting = (load * (target(idle) - idle) / growth).clamp(MIN_FILL, MAX_FILL);
+        let before = self.fill_limit;
+        self.fill_limit = match fitting < before {
+            true => fitting,
+            false => before + RAISE_RATE * (fitting - before),
         };
-        Some(Judged {
-            room: self.room,
+        Some(FillUpdate {
+            fill_limit: self.fill_limit,
             load,
-            pause: long,
+            pause: high_pause,
         })
     }
 }
 
-/// Part of the allowed pause that a pass may take, where it takes `idle` of it without load.
-fn aim(idle: f64) -> f64 {
-    match idle < AIM {
-        true => AIM,
-        false => (idle * LATE_AIM).min(STILL),
+/// Fraction of the allowed pause that a pass may take, if it takes `idle` of it without load.
+fn target(idle: f64) -> f64 {
+    match idle < TARGET {
+        true => TARGET,
+        false => (idle * LATE_FACTOR).min(STALL_RATIO),
     }
 }
 
--- a/crates/route/src/fleet.rs
+++ b/crates/route/src/fleet.rs
@@ -1,109 +1,109 @@
-//! All backend servers of a gateway that sends requests to them itself, and which of them a
-//! request goes to.
+//! All backend servers of a gateway that sends requests to them directly, and the selection among
+//! them.
 
-use crate::server::{Began, Server, ServerId, Told, Unit, quick_enough};
+use crate::server::{LoadReport, Server, ServerId, StartTime, Unit, without_slow};
 use bn_backpressure::Share;
 use indexmap::{IndexMap, IndexSet};
 use std::time::Duration;
 
-/// Weight of the newest telling in the load that others usually cause. It speaks of the last seven
-/// or so: half a second where a gateway starts 15 streams a second.
-const HEARD: f64 = 0.15;
-/// What was heard of the load that others cause fades over this time, and gives way to what is
-/// assumed. A busy gateway hears several times a second, one of many once in several seconds.
-const HEARD_FOR: Duration = Duration::from_secs(3);
-/// Random part of the cost, so that gateways with the same news do not all turn to the
-/// same backend server.
+/// Weight of the latest report in the moving average of the load caused by peers. It covers about
+/// the last seven reports: half a second at a gateway that starts 15 streams a second.
+const PEER_LOAD_WEIGHT: f64 = 0.15;
+/// Time constant by which the observed peer load decays towards the assumed one. A busy gateway
+/// gets several reports a second, one of many gateways one in several seconds.
+const PEER_LOAD_DECAY: Duration = Duration::from_secs(3);
+/// Random part of the cost, so that gateways with the same information do not all pick the same
+/// backend server.
 const JITTER: f64 = 0.02;
 
-/// Between two probes of a group that stands still. It is back some seconds after the rank
-/// that it lacks; all its ranks reject at once until then.
-const STILL_PROBE: Duration = Duration::from_millis(300);
-/// A group that has stood still for so long is not expected back within the time for which a caller
-/// may be held: a rank that crashed is back, and its group formed anew, in half of it.
+/// Interval between probes of a stalled group. It recovers some seconds after the rank that it
+/// lacks; until then all its ranks reject at once.
+const PROBE_INTERVAL: Duration = Duration::from_millis(300);
+/// A group stalled for this long is not expected back within the time for which a caller may be
+/// held: half of it suffices for a crashed rank to return and the group to re-form.
 const DOWN_AFTER: Duration = Duration::from_secs(8);
 
-/// What a request asks of the fleet.
+/// Arguments of a selection.
 #[derive(Clone, Copy)]
-pub struct Want<'a> {
-    /// The service.
+pub struct PickArgs<'a> {
+    /// Service.
     pub service: &'a str,
-    /// Backend servers it was sent to already.
+    /// Backend servers to which the request was already sent.
     pub tried: &'a [ServerId],
-    /// It may go to no other one where this one turns it away.
-    pub last: bool,
-    /// Load over slots up to which a backend server of a unit is taken.
-    pub room: &'a dyn Fn(&str) -> f64,
+    /// If rejected there, the request may not be sent to another one.
+    pub final_attempt: bool,
+    /// Load over slots up to which a backend server of a unit is filled.
+    pub fill_limit: &'a dyn Fn(&str) -> f64,
 }
 
-/// Why there is no backend server for a request.
+/// Why no backend server is available for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Lack {
+pub enum Unavailable {
     /// The service has none, or all were tried or are leaving.
-    Servers,
+    NoServers,
     /// All are full.
-    Room,
-    /// The group stands still, and it is not yet time for a probe.
-    Still,
-    /// The same for so long that there is no use in waiting for it.
+    Full,
+    /// The group is stalled, and the next probe is not due yet.
+    Stalled,
+    /// The group has been stalled for so long that waiting is no use.
     Down,
-    /// All take no request of this gateway before then, as they asked; none where other gateways send
-    /// to them.
-    Held(Option<Duration>),
+    /// All accept no request of this gateway before then, as they asked; `None` if only other
+    /// gateways send to them.
+    Throttled(Option<Duration>),
 }
 
-/// A group that stands still.
+/// A stalled group.
 #[derive(Debug, Clone, Copy)]
-struct Still {
+struct Stall {
     since: Duration,
-    /// When the next probe may go there.
-    probe: Duration,
+    /// When the next probe may be sent.
+    next_probe: Duration,
 }
 
-/// What one backend server of a unit bears, and what others cause there.
-struct Bearing {
-    room: f64,
-    usual: f64,
+/// Fill limit of a unit's backend servers, and the load that peers cause there.
+struct UnitLoad {
+    fill_limit: f64,
+    peer_load: f64,
 }
 
-/// All backend servers that a gateway knows.
+/// All backend servers known to a gateway.
 #[derive(Debug, Clone, Default)]
 pub struct Fleet {
     pub(crate) servers: IndexMap<ServerId, Server>,
     domain: String,
-    /// Load over slots that others cause, by unit: its mean of late, and when it was heard.
-    heard: IndexMap<Unit, (f64, Duration)>,
-    /// Units that stand still.
-    still: IndexMap<Unit, Still>,
+    /// Load over slots caused by peers, by unit: moving average and time of the last report.
+    peer_loads: IndexMap<Unit, (f64, Duration)>,
+    /// Stalled units.
+    stalled: IndexMap<Unit, Stall>,
     /// Other gateways that send requests to the same backend servers.
     pub peers: u32,
-    /// What decides of this gateway's part of limits.
-    pub(crate) share: Share,
-    /// Backend servers whose limit coordinators may not know, and when they were told it last.
-    pub(crate) untold: IndexMap<ServerId, Option<Duration>>,
+    /// Determines this gateway's share of limits.
+    pub(crate) gateways: Share,
+    /// Backend servers whose limit the coordinators may not know, and when it was last reported.
+    pub(crate) pending_limits: IndexMap<ServerId, Option<Duration>>,
 }
 
 impl Fleet {
-    /// An empty fleet for a gateway of that failure domain.
+    /// Creates an empty fleet for a gateway in that failure domain.
     pub fn new(domain: &str) -> Fleet {
         Fleet {
             servers: IndexMap::new(),
             domain: domain.into(),
-            heard: IndexMap::new(),
-            still: IndexMap::new(),
+            peer_loads: IndexMap::new(),
+            stalled: IndexMap::new(),
             peers: 0,
-            share: Share::default(),
-            untold: IndexMap::new(),
+            gateways: Share::default(),
+            pending_limits: IndexMap::new(),
         }
     }
 
-    /// Adds a backend server, or takes its new particulars.
-    pub fn put(&mut self, server: Server) {
+    /// Adds a backend server, or updates its registration.
+    pub fn upsert(&mut self, server: Server) {
         match self.servers.get_mut(&server.id) {
             Some(known) => {
-                // Its own answers are sooner than what announces it, which may never come.
+                // Its own answers are more recent than its announcement, which may never arrive.
                 known.leaving = server.leaving || known.terms.is_leaving();
-                known.pace = server.pace;
+                known.slowdown = server.slowdown;
                 known.unit = server.unit;
                 known.slots = server.slots;
             }
@@ -116,245 +116,270 @@
     /// Removes a backend server.
     pub fn remove(&mut self, id: &str) {
         self.servers.shift_remove(id);
-        self.untold.swap_remove(id);
+        self.pending_limits.swap_remove(id);
     }
 
-    /// The backend server of an id.
+    /// Returns the backend server with this id.
     pub fn get(&self, id: &str) -> Option<&Server> {
         self.servers.get(id)
     }
 
-    /// Picks the backend server that costs least; `random` gives numbers in `0..1`. Load counts against
-    /// what its unit bears: a slow group is full sooner than a quick one. Where all are out for failing,
-    /// the one that has been longest is tried: being refused at once is worse than one more failure.
+    /// Picks the backend server with the lowest cost; `random` returns numbers in `0..1`. Load is
+    /// compared to the unit's fill limit: a slow group is full sooner than a fast one. If all are
+    /// ejected, the first to be readmitted is tried: an immediate refusal is worse than one more
+    /// failure.
     pub fn pick(
         &self,
         now: Duration,
-        want: &Want<'_>,
+        args: &PickArgs<'_>,
         mut random: impl FnMut() -> f64,
-    ) -> Result<&Server, Lack> {
-        let is_open = |s: &&Server| !s.leaving && !want.tried.contains(&s.id);
-        let open: Vec<&Server> = self.of(want.service).filter(is_open).collect();
-        if open.is_empty() {
-            return Err(Lack::Servers);
+    ) -> Result<&Server, Unavailable> {
+        let eligible = |s: &&Server| !s.leaving && !args.tried.contains(&s.id);
+        let candidates: Vec<&Server> = self.in_service(args.service).filter(eligible).collect();
+        if candidates.is_empty() {
+            return Err(Unavailable::NoServers);
         }
-        let moves = |s: &&Server| self.still.get(&s.unit).is_none_or(|s| now >= s.probe);
-        let open: Vec<&Server> = open.into_iter().filter(moves).collect();
-        if open.is_empty() {
-            let down = self.is_down(now, want.service);
-            return Err(if down { Lack::Down } else { Lack::Still });
+        let not_stalled = |s: &&Server| {
+            self.stalled
+                .get(&s.unit)
+                .is_none_or(|s| now >= s.next_probe)
+        };
+        let candidates: Vec<&Server> = candidates.into_iter().filter(not_stalled).collect();
+        if candidates.is_empty() {
+            let down = self.is_down(now, args.service);
+            return Err(if down {
+                Unavailable::Down
+            } else {
+                Unavailable::Stalled
+            });
         }
-        // One that takes few requests, or turns them away at once, has the least load of all, and would be
-        // chosen for each: only its word keeps them away.
-        let open_at = open.iter().filter_map(|s| s.terms.open_at()).min();
-        let open: Vec<&Server> = open.into_iter().filter(|s| s.terms.is_open(now)).collect();
-        if open.is_empty() {
-            return Err(Lack::Held(open_at));
+        // A backend server that accepts few requests, or rejects them at once, has the lowest load
+        // and would be picked every time: only its own directives prevent that.
+        let next_send_at = candidates.iter().filter_map(|s| s.terms.open_at()).min();
+        let candidates: Vec<&Server> = candidates
+            .into_iter()
+            .filter(|s| s.terms.is_open(now))
+            .collect();
+        if candidates.is_empty() {
+            return Err(Unavailable::Throttled(next_send_at));
         }
-        let open = match want.last {
-            true => surer(open),
-            false => open,
+        let candidates = match args.final_attempt {
+            true => without_backoff(candidates),
+            false => candidates,
         };
-        if open.iter().all(|s| s.standing.out(now)) {
-            let first = open.into_iter().min_by_key(|s| s.standing.back_at());
-            return first.ok_or(Lack::Servers);
+        if candidates.iter().all(|s| s.health.is_ejected(now)) {
+            let first = candidates
+                .into_iter()
+                .min_by_key(|s| s.health.readmitted_at());
+            return first.ok_or(Unavailable::NoServers);
         }
-        let open = quick_enough(open);
-        let units = self.units(now, want, &open);
-        let widest = units.values().map(|u| u.room).fold(0.0, f64::max);
-        let sound = open.into_iter().filter(|s| !s.standing.out(now));
-        let priced = sound.filter_map(|s| {
+        let candidates = without_slow(candidates);
+        let units = self.units(now, args, &candidates);
+        let max_limit = units.values().map(|u| u.fill_limit).fold(0.0, f64::max);
+        let healthy = candidates.into_iter().filter(|s| !s.health.is_ejected(now));
+        let costed = healthy.filter_map(|s| {
             let unit = units.get(s.unit.as_str())?;
-            let room = unit.room * s.slots() * s.standing.share(now);
-            let part = unit.room / widest.max(f64::MIN_POSITIVE);
-            let near = s.domain == self.domain;
-            let cost = s.cost(now, unit.usual, part, near) + JITTER * random();
-            (s.load(now, unit.usual) < room).then_some((cost, s))
+            let limit = unit.fill_limit * s.slots() * s.health.capacity_share(now);
+            let relative = unit.fill_limit / max_limit.max(f64::MIN_POSITIVE);
+            let local = s.domain == self.domain;
+            let cost = s.cost(now, unit.peer_load, relative, local) + JITTER * random();
+            (s.load(now, unit.peer_load) < limit).then_some((cost, s))
         });
-        let best = priced.min_by(|a, b| a.0.total_cmp(&b.0));
-        best.map(|(_, s)| s).ok_or(Lack::Room)
+        let best = costed.min_by(|a, b| a.0.total_cmp(&b.0));
+        best.map(|(_, s)| s).ok_or(Unavailable::Full)
     }
 
-    /// Room and usual load of the units of these backend servers.
+    /// Fill limit and peer load of the units of these backend servers.
     fn units<'a>(
         &self,
         now: Duration,
-        want: &Want<'_>,
-        open: &[&'a Server],
-    ) -> IndexMap<&'a str, Bearing> {
+        args: &PickArgs<'_>,
+        candidates: &[&'a Server],
+    ) -> IndexMap<&'a str, UnitLoad> {
         let mut units: IndexMap<&str, Vec<&Server>> = IndexMap::new();
-        for server in open {
+        for server in candidates {
             units.entry(&server.unit).or_default().push(server);
         }
-        // What a unit bears shows in the streams that a gateway has there. One without any takes one,
-        // whatever it believes: else it stays at the least room while others fill the unit, and
-        // refuses callers until what it heard of their load has faded. One stream of a service, not of
-        // each unit: with many gateways and units, one each would be a good part of all slots.
-        let learns = open.iter().any(|s| s.mine > 0);
-        let bearing = |(unit, servers): (&'a str, Vec<&Server>)| {
-            let usual = self.usual(now, &servers);
-            let room = (want.room)(unit);
-            let room = if learns { room } else { room.max(1.0) };
-            (unit, Bearing { room, usual })
+        // Only streams of its own show a gateway a unit's fill limit. Without any request in flight
+        // it takes one regardless: otherwise it stays at the minimum while others fill the unit,
+        // and refuses callers until its record of their load has decayed. One per service, not per
+        // unit: with many gateways and units, one each would be a considerable part of all slots.
+        let has_requests = candidates.iter().any(|s| s.in_flight > 0);
+        let unit_load = |(unit, servers): (&'a str, Vec<&Server>)| {
+            let peer_load = self.peer_load(now, &servers);
+            let limit = (args.fill_limit)(unit);
+            let fill_limit = if has_requests { limit } else { limit.max(1.0) };
+            (
+                unit,
+                UnitLoad {
+                    fill_limit,
+                    peer_load,
+                },
+            )
         };
-        units.into_iter().map(bearing).collect()
+        units.into_iter().map(unit_load).collect()
     }
 
     /// Units of a service.
     pub fn units_of(&self, service: &str) -> IndexSet<&str> {
-        self.of(service).map(|s| s.unit.as_str()).collect()
+        self.in_service(service).map(|s| s.unit.as_str()).collect()
     }
 
-    fn of<'a, 'b>(&'a self, service: &'b str) -> impl Iterator<Item = &'a Server> + use<'a, 'b> {
+    fn in_service<'a, 'b>(
+        &'a self,
+        service: &'b str,
+    ) -> impl Iterator<Item = &'a Server> + use<'a, 'b> {
         self.servers.values().filter(move |s| s.service == service)
     }
 
-    /// Mean load over slots of a unit's backend servers that take work.
+    /// Mean load over slots of a unit's backend servers that accept work.
     pub fn mean_load(&self, now: Duration, unit: &str) -> f64 {
-        let taking = |s: &&Server| s.unit == unit && !s.leaving;
-        let open: Vec<&Server> = self.servers.values().filter(taking).collect();
-        let usual = self.usual(now, &open);
-        let loads = open.iter().map(|s| s.load(now, usual) / s.slots());
-        loads.sum::<f64>() / open.len().max(1) as f64
+        let accepting = |s: &&Server| s.unit == unit && !s.leaving;
+        let members: Vec<&Server> = self.servers.values().filter(accepting).collect();
+        let peer_load = self.peer_load(now, &members);
+        let loads = members.iter().map(|s| s.load(now, peer_load) / s.slots());
+        loads.sum::<f64>() / members.len().max(1) as f64
     }
 
-    /// Pace of a unit's slowest backend server that takes work, 1 where all are sound: each pass of a
-    /// group takes as long as that one needs.
-    pub fn slowest(&self, unit: &str) -> f64 {
-        let taking = |s: &&Server| s.unit == unit && !s.leaving;
-        let paces = self.servers.values().filter(taking).map(|s| s.pace);
-        paces.fold(1.0, f64::max)
+    /// Slowdown of a unit's slowest backend server that accepts work, 1 if all are sound: each pass
+    /// of a group takes as long as the slowest rank needs.
+    pub fn max_slowdown(&self, unit: &str) -> f64 {
+        let accepting = |s: &&Server| s.unit == unit && !s.leaving;
+        let slowdowns = self.servers.values().filter(accepting).map(|s| s.slowdown);
+        slowdowns.fold(1.0, f64::max)
     }
 
-    /// Load over slots that all other gateways together cause at one of these backend servers,
-    /// as far as that one does not tell: what those tell that were asked of late, as it fades,
-    /// and what is assumed for the rest.
+    /// Load over slots that all other gateways together cause at one of these backend servers, as
+    /// far as its own report does not show it: the decaying average of recent reports from the
+    /// unit, and the assumed load for the rest.
     ///
-    /// While three of seven gateways were cut off, the others took a group that was half full
-    /// for full, since they assumed as much of each other gateway as they had themselves.
-    fn usual(&self, now: Duration, servers: &[&Server]) -> f64 {
-        let assumed = self.assumed(servers);
-        let heard = servers.first().and_then(|s| self.heard.get(&s.unit));
-        let Some((mean, at)) = heard else {
+    /// While three of seven gateways were cut off, the others took a half full group for full,
+    /// since they assumed as much load of each other gateway as of themselves.
+    fn peer_load(&self, now: Duration, servers: &[&Server]) -> f64 {
+        let assumed = self.assumed_peer_load(servers);
+        let observed = servers.first().and_then(|s| self.peer_loads.get(&s.unit));
+        let Some((mean, at)) = observed else {
             return assumed;
         };
         let age = now.saturating_sub(*at).as_secs_f64();
-        let fade = (-age / HEARD_FOR.as_secs_f64()).exp();
+        let fade = (-age / PEER_LOAD_DECAY.as_secs_f64()).exp();
         mean * fade + assumed * (1.0 - fade)
     }
 
-    /// Load over slots where each other gateway has as many requests as this one, less what may
-    /// be chance: the few requests of one gateway are a small sample, whose deviation is the
-    /// root of their number. With 147 gateways a single request of this one stood for 146 others,
-    /// and half of the requests of a plain service that was a tenth full were refused or late.
-    fn assumed(&self, servers: &[&Server]) -> f64 {
-        let mine: f64 = servers.iter().map(|s| f64::from(s.mine)).sum();
+    /// Load over slots if each other gateway has as many requests as this one, less the sampling
+    /// error: the few requests of one gateway are a small sample, with the root of their number as
+    /// deviation. Without that, each request of one of 147 gateways stood for 146 others, and half
+    /// of the requests of a plain service a tenth full were refused or late.
+    fn assumed_peer_load(&self, servers: &[&Server]) -> f64 {
+        let in_flight: f64 = servers.iter().map(|s| f64::from(s.in_flight)).sum();
         let slots: f64 = servers.iter().map(|s| s.slots()).sum();
-        (mine - mine.sqrt()).max(0.0) / slots.max(1.0) * f64::from(self.peers)
+        (in_flight - in_flight.sqrt()).max(0.0) / slots.max(1.0) * f64::from(self.peers)
     }
 
-    /// A request goes to a backend server. To a group that stands still it is the probe.
-    pub fn sent(&mut self, now: Duration, id: &str) {
+    /// Records a request sent to a backend server. For a stalled group it is the probe.
+    pub fn record_sent(&mut self, now: Duration, id: &str) {
         if let Some(server) = self.servers.get_mut(id) {
-            server.mine += 1;
+            server.in_flight += 1;
             server.terms.sent(now);
-            if let Some(still) = self.still.get_mut(&server.unit) {
-                still.probe = now + STILL_PROBE;
+            if let Some(stall) = self.stalled.get_mut(&server.unit) {
+                stall.next_probe = now + PROBE_INTERVAL;
             }
         }
     }
 
-    /// A rank says that its group stands still.
-    pub fn stands_still(&mut self, now: Duration, id: &str) {
+    /// Records that a rank reports its group as stalled.
+    pub fn mark_stalled(&mut self, now: Duration, id: &str) {
         if let Some(server) = self.servers.get(id) {
-            let still = self.still.entry(server.unit.clone()).or_insert(Still {
+            let stall = self.stalled.entry(server.unit.clone()).or_insert(Stall {
                 since: now,
-                probe: now,
+                next_probe: now,
             });
-            still.probe = now + STILL_PROBE;
+            stall.next_probe = now + PROBE_INTERVAL;
         }
     }
 
-    /// A start of a backend server has ended: nobody listens there. Its group cannot make a pass
-    /// without it; told only by the ranks, which wait for it first, a gateway learns that 1.5 s
-    /// later, and sends its requests into the wait until then. `false` where this is no news: the
-    /// group may run again by the time at which somebody else tells of it.
-    pub fn fell(&mut self, now: Duration, id: &str, began: Began) -> bool {
+    /// Records that a start of a backend server has terminated: nobody listens there. Its group
+    /// cannot make a pass without it. The other ranks wait for it first, so by their reports alone
+    /// a gateway would learn of it 1.5 s later, and would send its requests into that wait. Returns
+    /// `false` if this adds nothing: the group may run again by the time of a second report.
+    pub fn mark_terminated(&mut self, now: Duration, id: &str, start_time: StartTime) -> bool {
         let server = self.servers.get_mut(id);
-        let Some(server) = server.filter(|s| s.began == began && !s.leaving && !s.fallen) else {
+        let Some(server) =
+            server.filter(|s| s.start_time == start_time && !s.leaving && !s.terminated)
+        else {
             return false;
         };
-        server.fallen = true;
-        server.standing.fail(now, true);
+        server.terminated = true;
+        server.health.record_failure(now, true);
         let rank = server.is_rank();
         if rank {
-            self.stands_still(now, id);
+            self.mark_stalled(now, id);
         }
         true
     }
 
-    /// Whether all of a service stands still, as far as is known.
-    pub fn is_still(&self, service: &str) -> bool {
-        let mut taking = self.of(service).filter(|s| !s.leaving).peekable();
-        taking.peek().is_some() && taking.all(|s| self.still.contains_key(&s.unit))
+    /// Whether all of a service is known to be stalled.
+    pub fn is_stalled(&self, service: &str) -> bool {
+        let mut accepting = self.in_service(service).filter(|s| !s.leaving).peekable();
+        accepting.peek().is_some() && accepting.all(|s| self.stalled.contains_key(&s.unit))
     }
 
-    /// Whether all of a service has stood still for so long that there is no use in waiting for it.
+    /// Whether all of a service has been stalled for so long that waiting is no use.
     pub fn is_down(&self, now: Duration, service: &str) -> bool {
         let long = |s: &Server| {
-            let still = self.still.get(&s.unit);
-            still.is_some_and(|still| now >= still.since + DOWN_AFTER)
+            let stall = self.stalled.get(&s.unit);
+            stall.is_some_and(|stall| now >= stall.since + DOWN_AFTER)
         };
-        let mut taking = self.of(service).filter(|s| !s.leaving).peekable();
-        taking.peek().is_some() && taking.all(long)
+        let mut accepting = self.in_service(service).filter(|s| !s.leaving).peekable();
+        accepting.peek().is_some() && accepting.all(long)
     }
 
-    /// A request ended there, or turned out never to have arrived. One that went to an earlier
-    /// start is not there.
-    pub fn ended(&mut self, id: &str, began: Began) {
+    /// Records that a request ended there, or never arrived. Requests to an earlier start do not
+    /// count.
+    pub fn record_end(&mut self, id: &str, start_time: StartTime) {
         let server = self.servers.get_mut(id);
-        if let Some(server) = server.filter(|s| s.began == began) {
-            server.mine = server.mine.saturating_sub(1);
+        if let Some(server) = server.filter(|s| s.start_time == start_time) {
+            server.in_flight = server.in_flight.saturating_sub(1);
         }
     }
 
-    /// A backend server told its load with an answer to this gateway; the request that
-    /// is being answered counts in it.
-    pub fn told(&mut self, now: Duration, id: &str, told: Told) {
+    /// Records the load sent with an answer to this gateway; it includes the request being
+    /// answered.
+    pub fn record_load(&mut self, now: Duration, id: &str, report: LoadReport) {
         let Some(server) = self.servers.get_mut(id) else {
             return;
         };
-        let all = f64::from(told.running + told.waiting);
-        server.others = (all - f64::from(server.mine)).max(0.0);
-        server.told = now;
-        let (others, unit) = (server.others / server.slots(), server.unit.clone());
-        let alike: Vec<&Server> = self.servers.values().filter(|s| s.unit == unit).collect();
-        let before = self.usual(now, &alike);
-        let mean = before + HEARD * (others - before);
-        self.heard.insert(unit, (mean, now));
+        let total = f64::from(report.running + report.waiting);
+        server.peer_requests = (total - f64::from(server.in_flight)).max(0.0);
+        server.reported_at = now;
+        let (peers, unit) = (server.peer_requests / server.slots(), server.unit.clone());
+        let members: Vec<&Server> = self.servers.values().filter(|s| s.unit == unit).collect();
+        let before = self.peer_load(now, &members);
+        let mean = before + PEER_LOAD_WEIGHT * (peers - before);
+        self.peer_loads.insert(unit, (mean, now));
     }
 
-    /// A request failed there on its account; `true` where this puts it out.
-    pub fn failed(&mut self, now: Duration, id: &str, gravely: bool) -> bool {
+    /// Records a failure caused by the backend server; `true` if this ejects it.
+    pub fn record_failure(&mut self, now: Duration, id: &str, severe: bool) -> bool {
         let server = self.servers.get_mut(id);
-        server.is_some_and(|s| s.standing.fail(now, gravely))
+        server.is_some_and(|s| s.health.record_failure(now, severe))
     }
 
-    /// A request succeeded there.
-    pub fn succeeded(&mut self, now: Duration, id: &str) {
+    /// Records a successful request.
+    pub fn record_success(&mut self, now: Duration, id: &str) {
         if let Some(server) = self.servers.get_mut(id) {
-            server.standing.succeed(now);
-            self.still.shift_remove(&server.unit);
+            server.health.record_success(now);
+            self.stalled.shift_remove(&server.unit);
         }
     }
 }
 
-/// Without those that may turn a request away, where there are others: whether one that had asked for
-/// rest takes more is found out by requests that may still go elsewhere.
-fn surer(open: Vec<&Server>) -> Vec<&Server> {
-    let sure = |s: &&Server| !s.terms.is_resting();
-    match open.iter().any(sure) {
-        true => open.into_iter().filter(sure).collect(),
-        false => open,
+/// Leaves out those that may reject a request, if there are others: requests that may still be sent
+/// elsewhere find out whether a backend server accepts more after a backoff.
+fn without_backoff(candidates: Vec<&Server>) -> Vec<&Server> {
+    let not_backing_off = |s: &&Server| !s.terms.is_resting();
+    match candidates.iter().any(not_backing_off) {
+        true => candidates.into_iter().filter(not_backing_off).collect(),
+        false => candidates,
     }
 }
--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -1,59 +1,60 @@
-//! Passive health: ejection after failures in a row, and a slow return.
+//! Passive health checks: ejection after consecutive failures, and gradual readmission.
 
 use std::time::Duration;
 
-/// Failures in a row that eject.
-const STRIKES: u32 = 3;
-/// First time out; doubles with each ejection in a row.
-const FIRST_OUT: Duration = Duration::from_secs(1);
-/// Longest time out.
-const LONGEST_OUT: Duration = Duration::from_secs(30);
-/// Time over which a returned backend server gets back to its full part.
-const RETURN: Duration = Duration::from_secs(5);
+/// Consecutive failures that cause an ejection.
+const EJECT_AFTER: u32 = 3;
+/// First ejection time; doubles with each successive ejection.
+const BASE_EJECTION: Duration = Duration::from_secs(1);
+/// Maximum ejection time.
+const MAX_EJECTION: Duration = Duration::from_secs(30);
+/// Time over which a readmitted backend server is ramped up to its full share.
+const RAMP_UP: Duration = Duration::from_secs(5);
 
-/// Health of a backend server as this entry's own requests show it.
+/// Health of a backend server as observed from this entry's requests.
 #[derive(Debug, Clone, Default)]
 pub struct Health {
-    strikes: u32,
+    consecutive_failures: u32,
     ejections: u32,
-    out_until: Option<Duration>,
+    ejected_until: Option<Duration>,
 }
 
 impl Health {
-    /// A request failed there; `true` where this ejects it.
-    pub fn fail(&mut self, now: Duration) -> bool {
-        self.strikes += 1;
-        if self.strikes < STRIKES || self.out(now) {
+    /// Records a failed request; `true` if this ejects the backend server.
+    pub fn record_failure(&mut self, now: Duration) -> bool {
+        self.consecutive_failures += 1;
+        if self.consecutive_failures < EJECT_AFTER || self.is_ejected(now) {
             return false;
         }
-        let out = (FIRST_OUT * 2u32.saturating_pow(self.ejections.min(5))).min(LONGEST_OUT);
-        self.out_until = Some(now + out);
+        let ejection =
+            (BASE_EJECTION * 2u32.saturating_pow(self.ejections.min(5))).min(MAX_EJECTION);
+        self.ejected_until = Some(now + ejection);
         self.ejections += 1;
-        self.strikes = 0;
+        self.consecutive_failures = 0;
         true
     }
 
-    /// A request succeeded there.
-    pub fn succeed(&mut self, now: Duration) {
-        self.strikes = 0;
-        if self.share(now) >= 1.0 {
+    /// Records a successful request.
+    pub fn record_success(&mut self, now: Duration) {
+        self.consecutive_failures = 0;
+        if self.capacity_share(now) >= 1.0 {
             self.ejections = 0;
-            self.out_until = None;
+            self.ejected_until = None;
         }
     }
 
-    /// It is ejected.
-    pub fn out(&self, now: Duration) -> bool {
-        self.out_until.is_some_and(|until| now < until)
+    /// Whether the backend server is ejected.
+    pub fn is_ejected(&self, now: Duration) -> bool {
+        self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Part of its capacity it is given: grows from a tenth after an ejection, so
-    /// that a backend server that is still ill fails few requests.
-    pub fn share(&self, now: Duration) -> f64 {
-        let Some(until) = self.out_until else {
+    /// Fraction of its capacity that it is given: ramps up from a tenth after an ejection, so that
+    /// a backend server that still fails affects few requests.
+    pub fn capacity_share(&self, now: Duration) -> f64 {
+        let Some(until) = self.ejected_until else {
             return 1.0;
         };
-        let back = now.saturating_sub(until).as_secs_f64() / RETURN.as_secs_f64();
-        back.clamp(0.1, 1.0)
+        let ramp = now.saturating_sub(until).as_secs_f64() / RAMP_UP.as_secs_f64();
+        ramp.clamp(0.1, 1.0)
     }
 }
--- a/crates/route/src/health_record.rs
+++ b/crates/route/src/health_record.rs
@@ -1,79 +1,79 @@
-//! How a backend server fares by the requests that were sent to it: failures put it out
-//! for a short time, and a share of failures makes it dearer.
+//! Health of a backend server from the outcomes of requests sent to it: failures eject it for a
+//! short time, and its failure rate adds to its cost.
 
 use std::time::Duration;
 
-/// Failures in a row that put it out; a grave one (nobody answers there) does at once.
-const STRIKES: u32 = 3;
-/// First time out; doubles with each in a row.
-const FIRST_OUT: Duration = Duration::from_millis(400);
-/// Longest time out. Short, since callers are served again only after it: a service all
-/// of whose backend servers were down must be back within the recovery bound (12 s).
-const LONGEST_OUT: Duration = Duration::from_secs(3);
-/// Time over which one that was out gets back to its full part.
-const RETURN: Duration = Duration::from_secs(2);
-/// Part of its room that one gets right after it was out: a probe or two.
-const FIRST_SHARE: f64 = 0.1;
-/// Weight of the latest outcome in the share of failures.
-const ALPHA: f64 = 0.15;
+/// Consecutive failures that cause an ejection; one severe failure (no listener) suffices.
+const EJECT_AFTER: u32 = 3;
+/// First ejection time; doubles with each successive ejection.
+const BASE_EJECTION: Duration = Duration::from_millis(400);
+/// Maximum ejection time. Short, because callers are served again only after it: a service whose
+/// backend servers were all down must recover within the recovery bound (12 s).
+const MAX_EJECTION: Duration = Duration::from_secs(3);
+/// Time over which a readmitted backend server is ramped up to its full share.
+const RAMP_UP: Duration = Duration::from_secs(2);
+/// Share of its fill limit right after readmission: a probe or two.
+const INITIAL_SHARE: f64 = 0.1;
+/// Weight of the latest outcome in the failure rate.
+const FAILURE_WEIGHT: f64 = 0.15;
 
-/// Standing of one backend server.
+/// Health record of one backend server.
 #[derive(Debug, Clone, Default)]
-pub struct Standing {
-    strikes: u32,
-    outs: u32,
-    until: Option<Duration>,
-    failing: f64,
+pub struct HealthRecord {
+    consecutive_failures: u32,
+    ejections: u32,
+    ejected_until: Option<Duration>,
+    failure_rate: f64,
 }
 
-impl Standing {
-    /// A request failed there; `true` where this puts it out.
-    pub fn fail(&mut self, now: Duration, gravely: bool) -> bool {
-        self.failing += ALPHA * (1.0 - self.failing);
-        self.strikes += 1;
-        if self.out(now) || (self.strikes < STRIKES && !gravely) {
+impl HealthRecord {
+    /// Records a failed request; `true` if this ejects the backend server.
+    pub fn record_failure(&mut self, now: Duration, severe: bool) -> bool {
+        self.failure_rate += FAILURE_WEIGHT * (1.0 - self.failure_rate);
+        self.consecutive_failures += 1;
+        if self.is_ejected(now) || (self.consecutive_failures < EJECT_AFTER && !severe) {
             return false;
         }
-        let out = FIRST_OUT * 2u32.saturating_pow(self.outs.min(5));
-        self.until = Some(now + out.min(LONGEST_OUT));
-        self.outs += 1;
-        self.strikes = 0;
+        let ejection = BASE_EJECTION * 2u32.saturating_pow(self.ejections.min(5));
+        self.ejected_until = Some(now + ejection.min(MAX_EJECTION));
+        self.ejections += 1;
+        self.consecutive_failures = 0;
         true
     }
 
-    /// A request succeeded there.
-    pub fn succeed(&mut self, now: Duration) {
-        self.failing -= ALPHA * self.failing;
-        self.strikes = 0;
-        if !self.out(now) {
-            self.outs = 0;
+    /// Records a successful request.
+    pub fn record_success(&mut self, now: Duration) {
+        self.failure_rate -= FAILURE_WEIGHT * self.failure_rate;
+        self.consecutive_failures = 0;
+        if !self.is_ejected(now) {
+            self.ejections = 0;
         }
-        if self.share(now) >= 1.0 {
-            self.until = None;
+        if self.capacity_share(now) >= 1.0 {
+            self.ejected_until = None;
         }
     }
 
-    /// It is out.
-    pub fn out(&self, now: Duration) -> bool {
-        self.until.is_some_and(|until| now < until)
+    /// Whether the backend server is ejected.
+    pub fn is_ejected(&self, now: Duration) -> bool {
+        self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// When it is or was back.
-    pub fn back_at(&self) -> Duration {
-        self.until.unwrap_or(Duration::ZERO)
+    /// When its latest ejection ends or ended.
+    pub fn readmitted_at(&self) -> Duration {
+        self.ejected_until.unwrap_or(Duration::ZERO)
     }
 
-    /// Share of failures of late, 0 to 1.
-    pub fn failing(&self) -> f64 {
-        self.failing
+    /// Recent failure rate, 0 to 1.
+    pub fn failure_rate(&self) -> f64 {
+        self.failure_rate
     }
 
-    /// Part of its room that it is given now.
-    pub fn share(&self, now: Duration) -> f64 {
-        let Some(until) = self.until else {
+    /// Share of its fill limit that it is given now.
+    pub fn capacity_share(&self, now: Duration) -> f64 {
+        let Some(until) = self.ejected_until else {
             return 1.0;
         };
-        let back = now.saturating_sub(until).as_secs_f64() / RETURN.as_secs_f64();
-        back.clamp(FIRST_SHARE, 1.0)
+        let ramp = now.saturating_sub(until).as_secs_f64() / RAMP_UP.as_secs_f64();
+        ramp.clamp(INITIAL_SHARE, 1.0)
     }
 }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,7 +1,7 @@
-//! Which backend server gets a request: predicted wait from lagged reports, corrected
-//! by what this entry sent and saw end since; prefix affinity under bounded load;
-//! health with ejection and slow return; a retry budget. Plain decisions: inputs,
-//! the time and a random number go in, a choice comes out.
+//! Selects the backend server for a request: predicted wait from lagged reports, corrected by
+//! the requests that this entry has sent and seen end since; prefix affinity under bounded load;
+//! health with ejection and gradual readmission; a retry budget. The decisions do no I/O: they take
+//! inputs, the time and a random number, and return a choice.
 
 mod backend;
 mod backpressure;
@@ -17,16 +17,16 @@
 mod server;
 
 pub use backend::{Backend, Report};
-pub use fill_controller::{Bounds, Judged, Pace, room_for};
-pub use fleet::{Fleet, Lack, Want};
+pub use fill_controller::{FillController, FillUpdate, PauseBounds, fill_limit_for};
+pub use fleet::{Fleet, PickArgs, Unavailable};
 pub use health::Health;
-pub use health_record::Standing;
-pub use prefix::Prefixes;
-pub use retry_budget::{Allowance, Retries};
-pub use retry_detector::Patience;
-pub use retry_tokens::Budget;
-pub use router::{Ask, Policy, Router, least_reported, predicted};
-pub use server::{Began, Server, ServerId, Told, Unit};
+pub use health_record::HealthRecord;
+pub use prefix::PrefixIndex;
+pub use retry_budget::{RetryAllowance, RetryBudget};
+pub use retry_detector::RetryDetector;
+pub use retry_tokens::RetryTokens;
+pub use router::{Policy, Requirements, Router, least_reported, predicted};
+pub use server::{LoadReport, Server, ServerId, StartTime, Unit};
 
 /// Id of a backend server.
 pub type BackendId = String;
--- a/crates/route/src/retry_detector.rs
+++ b/crates/route/src/retry_detector.rs
@@ -1,48 +1,47 @@
-//! Telling callers that ask for the first time from those that come back.
+//! Distinguishes first attempts of callers from retries.
 //!
-//! A caller that was refused or cut off asks again with less time left; it cannot be in time
-//! any more, so that a place is better given to one that still can. Nothing in a request says
-//! which it is. But the callers of a route wait for about the same time, give or take a
-//! seventh, and who is refused is told to come back after a second or more: whoever has much
-//! less left than the most that was seen of late has asked before. The route's timeout does
-//! not tell, nor does a narrow margin: where few are refused, most of those so labelled would be
-//! callers that wait a little less.
+//! A caller that was refused or cut off retries with less time left; it can no longer be in time,
+//! so a slot is better used by one that still can. Requests do not say which they are. But callers
+//! of a route wait for about the same time, within a seventh, and a refused caller is told to retry
+//! after a second or more: one with much less time left than the recent maximum is a retry. Neither
+//! the route's timeout nor a narrow margin can tell them apart: where few are refused, most of
+//! those marked as retries would be callers with a slightly shorter wait.
 
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// Time for which the longest wait of a route is remembered at least, and twice that at
-/// most: routes get other callers with new documents.
-const REMEMBERED: Duration = Duration::from_secs(10);
-/// Part of the longest wait that a first try has at least: callers of a route differ by a seventh.
-/// Those told to come back soon may have more left than that, and are missed.
-const FRESH: f64 = 0.84;
+/// The longest wait of a route is remembered for at least this long, and at most twice as long: a
+/// new document brings a route other callers.
+const RETENTION: Duration = Duration::from_secs(10);
+/// Minimum wait of a first attempt, as a fraction of the longest: callers of a route differ by a
+/// seventh. Retries after a short delay may have more time left than that, and are missed.
+const FIRST_TRY_RATIO: f64 = 0.84;
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Longest {
-    began: Duration,
-    now: Duration,
-    before: Duration,
+struct MaxWait {
+    window_start: Duration,
+    current: Duration,
+    previous: Duration,
 }
 
-/// The longest waits that callers announced of late, by route.
+/// Longest recent waits announced by callers, by route.
 #[derive(Debug, Clone, Default)]
-pub struct Patience(IndexMap<String, Longest>);
+pub struct RetryDetector(IndexMap<String, MaxWait>);
 
-impl Patience {
-    /// A caller of `route` waits for `wait` more; whether it has asked before.
-    pub fn came_back(&mut self, now: Duration, route: &str, wait: Duration) -> bool {
-        let longest = match self.0.get_mut(route) {
-            Some(longest) => longest,
+impl RetryDetector {
+    /// Whether a caller of `route` that waits for another `wait` is retrying.
+    pub fn is_retry(&mut self, now: Duration, route: &str, wait: Duration) -> bool {
+        let window = match self.0.get_mut(route) {
+            Some(window) => window,
             None => self.0.entry(route.into()).or_default(),
         };
-        if now >= longest.began + REMEMBERED {
-            let idle = now >= longest.began + 2 * REMEMBERED;
-            longest.before = if idle { Duration::ZERO } else { longest.now };
-            longest.now = Duration::ZERO;
-            longest.began = now;
+        if now >= window.window_start + RETENTION {
+            let idle = now >= window.window_start + 2 * RETENTION;
+            window.previous = if idle { Duration::ZERO } else { window.current };
+            window.current = Duration::ZERO;
+            window.window_start = now;
         }
-        longest.now = longest.now.max(wait);
-        wait < longest.now.max(longest.before).mul_f64(FRESH)
+        window.current = window.current.max(wait);
+        wait < window.current.max(window.previous).mul_f64(FIRST_TRY_RATIO)
     }
 }
--- a/crates/route/src/retry_tokens.rs
+++ b/crates/route/src/retry_tokens.rs
@@ -1,46 +1,46 @@
-//! The retry budget: retries are a fixed part of requests, so that a failing service
-//! is not finished off by its callers' second tries.
+//! Retry budget of an entry: limits retries to a fixed fraction of requests, so that they do not
+//! overload a service that is already failing.
 
 use std::time::Duration;
 
-/// Retries earned by each request.
-const PART: f64 = 0.1;
-/// Retries earned each second whatever the load, so that quiet services retry too.
-const TRICKLE: f64 = 5.0;
-/// Retries saved up at most.
-const MOST: f64 = 50.0;
+/// Retries earned per request.
+const TOKENS_PER_REQUEST: f64 = 0.1;
+/// Retries earned per second regardless of load, so that services with little traffic can retry.
+const TOKENS_PER_SECOND: f64 = 5.0;
+/// Maximum number of retries saved up.
+const MAX_TOKENS: f64 = 50.0;
 
 /// A token bucket of retries.
 #[derive(Debug, Clone)]
-pub struct Budget {
-    saved: f64,
-    at: Duration,
+pub struct RetryTokens {
+    tokens: f64,
+    refilled_at: Duration,
 }
 
-impl Default for Budget {
-    fn default() -> Budget {
-        Budget {
-            saved: MOST,
-            at: Duration::ZERO,
+impl Default for RetryTokens {
+    fn default() -> RetryTokens {
+        RetryTokens {
+            tokens: MAX_TOKENS,
+            refilled_at: Duration::ZERO,
         }
     }
 }
 
-impl Budget {
-    /// A first try was made.
-    pub fn earn(&mut self) {
-        self.saved = (self.saved + PART).min(MOST);
+impl RetryTokens {
+    /// Credits a first attempt.
+    pub fn deposit(&mut self) {
+        self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
     }
 
-    /// Takes one retry if there is one.
-    pub fn spend(&mut self, now: Duration) -> bool {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.at = self.at.max(now);
-        self.saved = (self.saved + passed * TRICKLE).min(MOST);
-        let some = self.saved >= 1.0;
-        if some {
-            self.saved -= 1.0;
+    /// Takes one retry if available.
+    pub fn try_withdraw(&mut self, now: Duration) -> bool {
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
+        self.tokens = (self.tokens + elapsed * TOKENS_PER_SECOND).min(MAX_TOKENS);
+        let granted = self.tokens >= 1.0;
+        if granted {
+            self.tokens -= 1.0;
         }
-        some
+        granted
     }
 }
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -1,52 +1,52 @@
-//! Picking among the backend servers of a service.
+//! Selection among the backend servers of a service.
 
 use crate::backend::{Backend, Report};
-use crate::prefix::Prefixes;
+use crate::prefix::PrefixIndex;
 use crate::{BackendId, ServiceId};
 use indexmap::{IndexMap, IndexSet};
 use std::time::Duration;
 
-/// A backend server that has not reported for this long gets no new work.
-const SILENCE: Duration = Duration::from_secs(3);
-/// Random candidates compared.
-const SAMPLE: usize = 3;
-/// Affinity holds up to this pressure over the mean: bounded load.
+/// A backend server without a report for this long gets no new work.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Number of random candidates compared.
+const DEFAULT_SAMPLE: usize = 3;
+/// Affinity applies up to this utilization above the mean: bounded load.
 const AFFINITY_SLACK: f64 = 0.25;
-/// Requests a backend server is given, as a part of its capacity.
-const ROOM: f64 = 1.0;
-/// The same with what is kept for urgent requests, which go first in its batch.
-const URGENT_ROOM: f64 = 1.25;
+/// Requests assigned to a backend server, as a fraction of its capacity.
+const FILL_LIMIT: f64 = 1.0;
+/// The same including what is reserved for urgent requests, which go first in its batch.
+const URGENT_FILL_LIMIT: f64 = 1.25;
 
-/// What a request needs.
+/// Requirements of a request.
 #[derive(Debug, Clone, Default)]
-pub struct Ask {
-    /// The service.
+pub struct Requirements {
+    /// Service.
     pub service: ServiceId,
-    /// Hash of the prompt's beginning.
+    /// Hash of the start of the prompt.
     pub prefix: Option<u64>,
     /// Backend servers already tried.
     pub tried: Vec<BackendId>,
-    /// Only one that can start an answer at an offset.
+    /// Only a backend server that can start an answer at an offset.
     pub resume: bool,
-    /// It may use the room that is kept for urgent requests.
+    /// May use the capacity reserved for urgent requests.
     pub urgent: bool,
 }
 
 /// How candidates are compared.
 #[derive(Debug, Clone, Copy)]
 pub struct Policy {
-    /// Candidates drawn; 0: all.
+    /// Number of candidates drawn; 0: all.
     pub sample: usize,
-    /// Cost of a candidate; the least is taken.
+    /// Cost of a candidate; the lowest is picked.
     pub cost: fn(&Backend, Duration) -> f64,
-    /// Follow prefix hints.
+    /// Whether to follow prefix hints.
     pub affinity: bool,
 }
 
 impl Default for Policy {
     fn default() -> Policy {
         Policy {
-            sample: SAMPLE,
+            sample: DEFAULT_SAMPLE,
             cost: predicted,
             affinity: true,
         }
@@ -54,7 +54,7 @@
 }
 
 impl Policy {
-    /// The policy of that name; an unknown one is the project's own.
+    /// Returns the policy of that name; for an unknown name, the project's own.
     pub fn named(name: &str) -> Policy {
         let baseline = |sample, cost| Policy {
             sample,
@@ -73,53 +73,53 @@
 
 /// Predicted wait: corrected load over the capacity that health allows.
 pub fn predicted(backend: &Backend, now: Duration) -> f64 {
-    (backend.pressure() + 1.0 / f64::from(backend.report.capacity.max(1)))
-        / backend.health.share(now)
+    (backend.utilization() + 1.0 / f64::from(backend.report.capacity.max(1)))
+        / backend.health.capacity_share(now)
 }
 
-/// The report as it stands; a baseline.
+/// Load as last reported; a baseline.
 pub fn least_reported(backend: &Backend, _: Duration) -> f64 {
     f64::from(backend.report.running + backend.report.queued)
         / f64::from(backend.report.capacity.max(1))
 }
 
-/// All backend servers that an entry knows.
+/// All backend servers known to an entry.
 #[derive(Debug, Clone, Default)]
 pub struct Router {
     /// By id.
     pub backends: IndexMap<BackendId, Backend>,
-    /// How it picks.
+    /// Selection policy.
     pub policy: Policy,
     /// Prefix hints.
-    pub prefixes: Prefixes,
+    pub prefixes: PrefixIndex,
     /// Drained by an operator.
     pub drained: IndexSet<BackendId>,
 }
 
 impl Router {
-    /// Takes a report.
-    pub fn report(&mut self, now: Duration, id: &str, report: Report) {
+    /// Stores a report.
+    pub fn update_report(&mut self, now: Duration, id: &str, report: Report) {
         let backend = self.backends.entry(id.into()).or_default();
         backend.report = report;
-        backend.heard = now;
+        backend.reported_at = now;
     }
 
-    /// Picks a backend server; `random` gives numbers below its argument. `None`:
-    /// none may take it now.
+    /// Picks a backend server; `random` returns numbers below its argument. `None`: no backend
+    /// server may take the request now.
     pub fn pick(
         &self,
         now: Duration,
-        ask: &Ask,
+        needs: &Requirements,
         mut random: impl FnMut(usize) -> usize,
     ) -> Option<BackendId> {
-        let open: Vec<_> = self.open(now, ask).collect();
-        if let Some(id) = self.affine(now, ask, &open) {
+        let candidates: Vec<_> = self.eligible(now, needs).collect();
+        if let Some(id) = self.affinity_match(now, needs, &candidates) {
             return Some(id);
         }
         let drawn: Vec<_> = match self.policy.sample {
-            n if n == 0 || n >= open.len() => open,
+            n if n == 0 || n >= candidates.len() => candidates,
             n => {
-                let draw = |_| open.get(random(open.len())).copied();
+                let draw = |_| candidates.get(random(candidates.len())).copied();
                 (0..n).filter_map(draw).collect()
             }
         };
@@ -130,7 +130,7 @@
         best.map(|(id, _)| id.clone())
     }
 
-    /// Backend servers of a service that may get new work at all.
+    /// Backend servers of a service that are eligible for new work.
     pub fn in_service<'a>(
         &'a self,
         now: Duration,
@@ -141,50 +141,56 @@
                 && b.report.healthy
                 && !b.report.leaving
                 && !self.drained.contains(*id)
-                && now < b.heard + SILENCE
-                && !b.health.out(now)
+                && now < b.reported_at + REPORT_TIMEOUT
+                && !b.health.is_ejected(now)
         })
     }
 
-    /// A request went there.
-    pub fn sent(&mut self, now: Duration, id: &str, attempt: u64, prefix: Option<u64>) {
+    /// Records a request sent there.
+    pub fn record_sent(&mut self, now: Duration, id: &str, attempt: u64, prefix: Option<u64>) {
         if let Some(backend) = self.backends.get_mut(id) {
-            backend.send(now, attempt);
+            backend.record_sent(now, attempt);
         }
         if let Some(prefix) = prefix {
-            self.prefixes.saw(now, prefix, id);
+            self.prefixes.record(now, prefix, id);
         }
     }
 
-    /// A request ended there; `good` is `None` where that says nothing of its
-    /// health. `true` where this ejects it.
-    pub fn ended(&mut self, now: Duration, id: &str, attempt: u64, good: Option<bool>) -> bool {
+    /// Records the end of a request; `success` is `None` if its outcome says nothing about health.
+    /// Returns `true` if this ejects the backend server.
+    pub fn record_end(
+        &mut self,
+        now: Duration,
+        id: &str,
+        attempt: u64,
+        success: Option<bool>,
+    ) -> bool {
         let Some(backend) = self.backends.get_mut(id) else {
             return false;
         };
-        backend.end(now, attempt);
-        match good {
+        backend.record_end(now, attempt);
+        match success {
             Some(true) => {
-                backend.health.succeed(now);
+                backend.health.record_success(now);
                 false
             }
-            Some(false) => backend.health.fail(now),
+            Some(false) => backend.health.record_failure(now),
             None => false,
         }
     }
 
-    /// A backend server's agent tells how many requests run there now: fresher than
-    /// the last report, which may be a second old.
-    pub fn running(&mut self, now: Duration, id: &str, running: u32) {
+    /// Updates the number of requests running there, as sent by the agent: more recent than the
+    /// last report, which may be a second old.
+    pub fn update_running(&mut self, now: Duration, id: &str, running: u32) {
         if let Some(backend) = self.backends.get_mut(id) {
             backend.report.running = running;
             backend.report.as_of = now;
         }
     }
 
-    /// Drops what has been silent for so long that it cannot come back unnoticed.
-    pub fn forget(&mut self, now: Duration, after: Duration) -> Vec<BackendId> {
-        let old = |b: &Backend| now > b.heard + after && b.mine() == 0;
+    /// Removes backend servers that have been silent for so long that they cannot return unnoticed.
+    pub fn remove_silent(&mut self, now: Duration, after: Duration) -> Vec<BackendId> {
+        let old = |b: &Backend| now > b.reported_at + after && b.in_flight() == 0;
         let gone: Vec<_> = self
             .backends
             .iter()
@@ -195,30 +201,35 @@
         gone
     }
 
-    fn open<'a>(
+    fn eligible<'a>(
         &'a self,
         now: Duration,
-        ask: &'a Ask,
+        needs: &'a Requirements,
     ) -> impl Iterator<Item = (&'a BackendId, &'a Backend)> {
-        let room = if ask.urgent { URGENT_ROOM } else { ROOM };
-        self.in_service(now, &ask.service).filter(move |(id, b)| {
-            !ask.tried.contains(*id)
-                && (b.report.resumes || !ask.resume)
-                && b.pressure() < room * b.health.share(now)
+        let limit = if needs.urgent {
+            URGENT_FILL_LIMIT
+        } else {
+            FILL_LIMIT
+        };
+        self.in_service(now, &needs.service).filter(move |(id, b)| {
+            !needs.tried.contains(*id)
+                && (b.report.resumes || !needs.resume)
+                && b.utilization() < limit * b.health.capacity_share(now)
         })
     }
 
-    fn affine(
+    fn affinity_match(
         &self,
         now: Duration,
-        ask: &Ask,
-        open: &[(&BackendId, &Backend)],
+        needs: &Requirements,
+        candidates: &[(&BackendId, &Backend)],
     ) -> Option<BackendId> {
         let holder = self
             .prefixes
-            .holder(now, ask.prefix.filter(|_| self.policy.affinity)?)?;
-        let (id, backend) = open.iter().find(|(id, _)| *id == holder)?;
-        let mean = open.iter().map(|(_, b)| b.pressure()).sum::<f64>() / open.len() as f64;
-        (backend.pressure() <= mean + AFFINITY_SLACK).then(|| (*id).clone())
+            .holder(now, needs.prefix.filter(|_| self.policy.affinity)?)?;
+        let (id, backend) = candidates.iter().find(|(id, _)| *id == holder)?;
+        let mean =
+            candidates.iter().map(|(_, b)| b.utilization()).sum::<f64>() / candidates.len() as f64;
+        (backend.utilization() <= mean + AFFINITY_SLACK).then(|| (*id).clone())
     }
 }
--- a/crates/route/src/server.rs
+++ b/crates/route/src/server.rs
@@ -1,6 +1,6 @@
-//! One backend server as a gateway sees it: where it is, how it fares, what load it has.
+//! A gateway's view of one backend server: its address, health and load.
 
-use crate::health_record::Standing;
+use crate::health_record::HealthRecord;
 use bn_backpressure::Terms;
 use indexmap::IndexMap;
 use std::net::SocketAddr;
@@ -8,139 +8,149 @@
 
 /// Id of a backend server.
 pub type ServerId = String;
-/// What shares fate and pace: a lock-step group, or a service without groups.
+/// What fails and slows down together: a lock-step group, or a service without groups.
 pub type Unit = String;
-/// Which start of a backend server, in Unix milliseconds; 0 where it does not tell.
-pub type Began = u64;
+/// Start time of a backend server's process, in Unix milliseconds; 0 if it reports none.
+pub type StartTime = u64;
 
-/// Load that others cause is told with answers only. It fades at this pace, since the
-/// requests it speaks of end: a usual answer takes one to two seconds.
-const TOLD_FADES: Duration = Duration::from_millis(1_500);
-/// Cost of another failure domain, in parts of a full backend server: bytes between
-/// failure domains are paid for and add 2 ms. Kept small, so that load goes first.
-const FAR: f64 = 0.04;
-/// Cost of failing every request, in parts of a full backend server.
-const FAILING: f64 = 3.0;
-/// Pace from which a backend server counts as slow: what lies below is told in steps of 0.25, and
-/// searching for maps makes up for it.
-const SLOW: f64 = 1.5;
+/// Time constant by which the load caused by peers decays. It is reported only with answers, and
+/// the requests that it counts end: a typical answer takes one to two seconds.
+const REPORT_DECAY: Duration = Duration::from_millis(1_500);
+/// Cost of another failure domain, as a fraction of a full backend server: traffic between failure
+/// domains is billed and adds 2 ms. Low, so that load takes precedence.
+const REMOTE_COST: f64 = 0.04;
+/// Cost of a failure rate of 1, in multiples of a full backend server.
+const FAILURE_COST: f64 = 3.0;
+/// Slowdown from which a backend server counts as slow: lower ones are reported in steps of 0.25,
+/// and the search for expert maps compensates for them.
+const SLOW_THRESHOLD: f64 = 1.5;
 
-/// Load of a backend server when it answered.
+/// Load of a backend server at the time of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Told {
-    /// Requests that ran.
+pub struct LoadReport {
+    /// Requests running.
     pub running: u32,
-    /// Requests that waited there.
+    /// Requests waiting there.
     pub waiting: u32,
-    /// Requests that can run at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
 }
 
 /// One backend server.
 #[derive(Debug, Clone)]
 pub struct Server {
-    /// Its id.
+    /// Id.
     pub id: ServerId,
     /// Which start of it this is.
-    pub began: Began,
-    /// Its service.
+    pub start_time: StartTime,
+    /// Service.
     pub service: String,
-    /// What it shares fate and pace with.
+    /// What it fails and slows down together with.
     pub unit: Unit,
-    /// Where it takes requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
     /// Failure domain.
     pub domain: String,
-    /// Requests that it runs at once, as registered.
+    /// Maximum number of concurrent requests, as registered.
     pub slots: u32,
-    /// It takes no new work.
+    /// Accepts no new work.
     pub leaving: bool,
-    /// Time that it takes for the same work, against a sound one.
-    pub pace: f64,
-    /// What it asks of those that send it requests.
+    /// Time it takes for the same work, relative to a sound one.
+    pub slowdown: f64,
+    /// Directives it has sent to its senders.
     pub terms: Terms,
-    /// How requests fared there.
-    pub standing: Standing,
-    /// Requests of this gateway that are there now.
-    pub(crate) mine: u32,
-    /// Load caused by others when it was told last.
-    pub(crate) others: f64,
-    pub(crate) told: Duration,
-    /// This start of it has ended, as far as is known.
-    pub(crate) fallen: bool,
+    /// Health from the outcomes of requests.
+    pub health: HealthRecord,
+    /// This gateway's requests in flight there.
+    pub(crate) in_flight: u32,
+    /// Requests of other gateways at its last load report.
+    pub(crate) peer_requests: f64,
+    pub(crate) reported_at: Duration,
+    /// This start of it is known to have terminated.
+    pub(crate) terminated: bool,
 }
 
 impl Server {
-    /// A backend server that registered just now.
+    /// Creates a backend server that has just registered.
     pub fn new(id: &str, service: &str, address: SocketAddr, domain: &str, slots: u32) -> Server {
         Server {
             id: id.into(),
-            began: 0,
+            start_time: 0,
             service: service.into(),
             unit: service.into(),
             address,
             domain: domain.into(),
             slots,
             leaving: false,
-            pace: 1.0,
+            slowdown: 1.0,
             terms: Terms::default(),
-            standing: Standing::default(),
-            mine: 0,
-            others: 0.0,
-            told: Duration::ZERO,
-            fallen: false,
+            health: HealthRecord::default(),
+            in_flight: 0,
+            peer_requests: 0.0,
+            reported_at: Duration::ZERO,
+            terminated: false,
         }
     }
 
-    /// It is a rank of this lock-step group of its service; empty: of none.
-    pub fn join(&mut self, group: &str) {
+    /// Makes it a rank of this lock-step group of its service; none if empty.
+    pub fn join_group(&mut self, group: &str) {
         if !group.is_empty() {
             self.unit = format!("{}/{group}", self.service);
         }
     }
 
-    /// It is a rank of a lock-step group.
+    /// Whether it is a rank of a lock-step group.
     pub(crate) fn is_rank(&self) -> bool {
         self.unit != self.service
     }
 
-    /// Requests there now, predicted: those of this gateway, and of others what was told
-    /// as far as it still holds, else `usual` of each slot.
-    pub fn load(&self, now: Duration, usual: f64) -> f64 {
-        let age = now.saturating_sub(self.told).as_secs_f64();
-        let fade = (-age / TOLD_FADES.as_secs_f64()).exp();
-        f64::from(self.mine) + self.others * fade + usual * self.slots() * (1.0 - fade)
+    /// Predicted number of requests there: those of this gateway, plus those of peers as last
+    /// reported, decaying towards `peer_load` per slot.
+    pub fn load(&self, now: Duration, peer_load: f64) -> f64 {
+        let age = now.saturating_sub(self.reported_at).as_secs_f64();
+        let fade = (-age / REPORT_DECAY.as_secs_f64()).exp();
+        f64::from(self.in_flight)
+            + self.peer_requests * fade
+            + peer_load * self.slots() * (1.0 - fade)
     }
 
     pub(crate) fn slots(&self) -> f64 {
         f64::from(self.slots.max(1))
     }
 
-    /// Requests of this gateway that are there now.
-    pub fn mine(&self) -> u32 {
-        self.mine
+    /// Number of this gateway's requests in flight there.
+    pub fn in_flight(&self) -> u32 {
+        self.in_flight
     }
 
-    /// `part` is what its unit bears against the one that bears most.
-    pub(crate) fn cost(&self, now: Duration, usual: f64, part: f64, near: bool) -> f64 {
-        let slots = self.slots() * part;
-        let far = if near { 0.0 } else { FAR };
-        (self.load(now, usual) + 1.0) / slots + far + FAILING * self.standing.failing()
+    /// `relative_limit` is its unit's fill limit relative to the highest.
+    pub(crate) fn cost(
+        &self,
+        now: Duration,
+        peer_load: f64,
+        relative_limit: f64,
+        local: bool,
+    ) -> f64 {
+        let slots = self.slots() * relative_limit;
+        let remote = if local { 0.0 } else { REMOTE_COST };
+        (self.load(now, peer_load) + 1.0) / slots
+            + remote
+            + FAILURE_COST * self.health.failure_rate()
     }
 }
 
-/// Without those that are slow, where at least half of their unit is not. All ranks of a group
-/// execute each pass together, and it lasts as long as the slowest takes for what it has itself; so
-/// one request at a rank of 2.5 times the usual time makes the streams of all ranks late. Even
-/// without a group a slow one is the worse choice while others have room.
-pub(crate) fn quick_enough(open: Vec<&Server>) -> Vec<&Server> {
+/// Leaves out slow backend servers where at least half of their unit is not slow. All ranks of a
+/// group execute each pass together, and it lasts as long as the slowest needs for its own work; so
+/// one request at a rank with a slowdown of 2.5 makes the streams of all ranks late. Even without a
+/// group a slow one is the worse choice while others have capacity.
+pub(crate) fn without_slow(servers: Vec<&Server>) -> Vec<&Server> {
     let mut units: IndexMap<&str, (usize, usize)> = IndexMap::new();
-    for server in &open {
+    for server in &servers {
         let (all, slow) = units.entry(&server.unit).or_default();
         *all += 1;
-        *slow += usize::from(server.pace >= SLOW);
+        *slow += usize::from(server.slowdown >= SLOW_THRESHOLD);
     }
-    let mostly_sound = |unit: &str| units.get(unit).is_some_and(|(all, slow)| 2 * slow <= *all);
-    let kept = |s: &&Server| s.pace < SLOW || !mostly_sound(&s.unit);
-    open.iter().copied().filter(kept).collect()
+    let mostly_fast = |unit: &str| units.get(unit).is_some_and(|(all, slow)| 2 * slow <= *all);
+    let kept = |s: &&Server| s.slowdown < SLOW_THRESHOLD || !mostly_fast(&s.unit);
+    servers.iter().copied().filter(kept).collect()
 }
--- a/crates/route/tests/fleet.rs
+++ b/crates/route/tests/fleet.rs
@@ -1,8 +1,8 @@
-//! Placing and health of backend servers at a gateway, without a network.
+//! Selection and health of backend servers at a gateway, without a network.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
-use bn_route::{Fleet, Lack, Pace, Server, Told, Want};
+use bn_route::{FillController, Fleet, LoadReport, PickArgs, Server, Unavailable};
 use googletest::prelude::*;
 use std::time::Duration;
 
@@ -13,47 +13,54 @@
     for n in 0..servers {
         let address = ([10, 0, 0, n as u8], 80).into();
         let domain = format!("d{n}");
-        fleet.put(Server::new(&format!("b{n}"), "s", address, &domain, 4));
+        fleet.upsert(Server::new(&format!("b{n}"), "s", address, &domain, 4));
     }
     fleet
 }
 
-fn want(tried: &[String]) -> Want<'_> {
-    Want {
+fn args(tried: &[String]) -> PickArgs<'_> {
+    PickArgs {
         service: "s",
         tried,
-        last: false,
-        room: &|_| 1.0,
+        final_attempt: false,
+        fill_limit: &|_| 1.0,
     }
 }
 
-fn pick(fleet: &Fleet, now: Duration, tried: &[String]) -> std::result::Result<String, Lack> {
-    fleet.pick(now, &want(tried), || 0.0).map(|s| s.id.clone())
+fn pick(
+    fleet: &Fleet,
+    now: Duration,
+    tried: &[String],
+) -> std::result::Result<String, Unavailable> {
+    fleet.pick(now, &args(tried), || 0.0).map(|s| s.id.clone())
 }
 
 #[googletest::test]
-fn requests_are_spread_evenly_and_stop_at_the_room() {
+fn requests_are_spread_evenly_up_to_the_fill_limit() {
     let mut fleet = fleet(3);
 
     for _ in 0..12 {
         let id = pick(&fleet, NOW, &[]).unwrap();
-        fleet.sent(NOW, &id);
+        fleet.record_sent(NOW, &id);
     }
 
-    let mine = |id: &str| fleet.get(id).unwrap().mine();
-    expect_that!((mine("b0"), mine("b1"), mine("b2")), eq((4, 4, 4)));
-    expect_that!(pick(&fleet, NOW, &[]), err(eq(&Lack::Room)));
+    let in_flight = |id: &str| fleet.get(id).unwrap().in_flight();
+    expect_that!(
+        (in_flight("b0"), in_flight("b1"), in_flight("b2")),
+        eq((4, 4, 4))
+    );
+    expect_that!(pick(&fleet, NOW, &[]), err(eq(&Unavailable::Full)));
 }
 
 #[googletest::test]
-fn load_that_others_cause_counts_and_fades() {
+fn peer_load_counts_and_decays() {
     let mut fleet = fleet(2);
-    let told = Told {
+    let report = LoadReport {
         running: 4,
         waiting: 2,
         slots: 4,
     };
-    fleet.told(NOW, "b0", told);
+    fleet.record_load(NOW, "b0", report);
 
     let at_once = pick(&fleet, NOW, &[]);
     let later = fleet
@@ -65,146 +72,145 @@
     expect_that!(later, lt(0.1));
 }
 
-/// Symptom: a group is overfilled although every gateway keeps to the room. Sequence: six
-/// gateways with like load, none of which has been told anything for a while. Cause: each
-/// took the ranks for idle but for its own requests.
+/// Guards against overfilling a group although every gateway respects the fill limit: six gateways
+/// with similar load, none with a recent report, each took the ranks for idle but for its own
+/// requests.
 #[googletest::test]
-fn what_other_gateways_do_is_assumed_where_nothing_is_told() {
+fn peer_load_is_assumed_without_reports() {
     let mut fleet = fleet(2);
     fleet.peers = 5;
     let mut sent = 0;
     while let Ok(id) = pick(&fleet, NOW, &[]) {
-        fleet.sent(NOW, &id);
+        fleet.record_sent(NOW, &id);
         sent += 1;
     }
 
     expect_that!(sent, all![ge(1), le(3)]);
 }
 
-/// Symptom: callers are refused while half of the group's places are free. Sequence: four of
-/// six gateways are cut off and their callers come to the two others, each of which takes
-/// the four to have as many requests as itself. Cause: what answers tell was not believed.
+/// Guards against refusing callers while half of the group's slots are free: four of six gateways
+/// are cut off, their callers go to the two others, and each of those assumed that the four have as
+/// many requests as itself instead of using the reported load.
 #[googletest::test]
-fn what_backend_servers_tell_goes_before_what_is_assumed() {
+fn reported_load_overrides_assumed_load() {
     let mut fleet = fleet(2);
     fleet.peers = 5;
-    let few_others = |fleet: &Fleet| Told {
-        running: fleet.get("b0").unwrap().mine() + 2,
+    let few_peer_requests = |fleet: &Fleet| LoadReport {
+        running: fleet.get("b0").unwrap().in_flight() + 2,
         waiting: 0,
         slots: 4,
     };
     for n in 0..40u64 {
         let at = NOW + Duration::from_millis(n * 40);
-        fleet.told(at, "b0", few_others(&fleet));
+        fleet.record_load(at, "b0", few_peer_requests(&fleet));
     }
     let now = NOW + Duration::from_millis(1_600);
 
     let mut sent = 0;
     while let Ok(id) = pick(&fleet, now, &[]) {
-        fleet.sent(now, &id);
+        fleet.record_sent(now, &id);
         sent += 1;
     }
 
-    // Two backend servers of four slots, with two requests of others at each.
+    // Two backend servers with four slots, with two requests of peers at each.
     expect_that!(sent, all![ge(4), le(6)]);
 }
 
-/// Symptom: a tenth of the gateways refuse all callers for four seconds after an outage, while the group
-/// serves those of the others. Sequence: the group ran again, and room is the least; the others learnt
-/// what it bears and fill it above that, so that this gateway never has a stream to learn by. Cause:
-/// the least room was held against the load of all.
+/// Guards against a tenth of the gateways refusing all callers for four seconds after an outage:
+/// the group runs again and the fill limit is at the minimum; the others measure more and fill the
+/// group above that. Compared to everyone's load, the minimum never left this gateway a stream to
+/// measure by.
 #[googletest::test]
-fn a_gateway_without_a_stream_takes_one_to_learn_by() {
+fn gateway_without_a_stream_takes_one_to_measure_by() {
     let mut fleet = fleet(4);
-    let half = Told {
+    let half = LoadReport {
         running: 2,
         waiting: 0,
         slots: 4,
     };
     for n in 0..40u64 {
-        fleet.told(NOW + Duration::from_millis(n * 5), "b0", half);
+        fleet.record_load(NOW + Duration::from_millis(n * 5), "b0", half);
     }
     let now = NOW + Duration::from_millis(200);
-    let least = |_: &str| Pace::FIRST;
-    let want = Want {
-        room: &least,
-        ..want(&[])
+    let minimum = |_: &str| FillController::INITIAL;
+    let args = PickArgs {
+        fill_limit: &minimum,
+        ..args(&[])
     };
 
-    let first = fleet.pick(now, &want, || 0.5).map(|s| s.id.clone());
-    fleet.sent(now, first.as_ref().unwrap());
-    let second = fleet.pick(now, &want, || 0.5).map(|s| s.id.clone());
+    let first = fleet.pick(now, &args, || 0.5).map(|s| s.id.clone());
+    fleet.record_sent(now, first.as_ref().unwrap());
+    let second = fleet.pick(now, &args, || 0.5).map(|s| s.id.clone());
 
     expect_that!(first, ok(anything()));
-    expect_that!(second, err(eq(&Lack::Room)));
+    expect_that!(second, err(eq(&Unavailable::Full)));
 }
 
-/// Symptom: on a fleet of many groups streams are late everywhere. Sequence: some hundred gateways have
-/// streams at a few groups each, and each takes one more at every other group, whatever it bears.
-/// Cause: a stream to learn by at each group is a good part of its slots.
+/// Guards against late streams throughout a fleet of many groups: some hundred gateways with
+/// streams at a few groups each took one more at every other group, whatever its fill limit. One
+/// such stream at each group is a considerable part of its slots.
 #[googletest::test]
-fn a_gateway_with_a_stream_elsewhere_keeps_to_the_room() {
+fn gateway_with_a_stream_elsewhere_respects_the_fill_limit() {
     let mut fleet = two_groups();
     let now = NOW + Duration::from_millis(200);
     let none = |_: &str| 0.0;
-    let want = Want {
-        room: &none,
-        ..want(&[])
+    let args = PickArgs {
+        fill_limit: &none,
+        ..args(&[])
     };
 
-    let first = fleet.pick(now, &want, || 0.5).map(|s| s.id.clone());
-    fleet.sent(now, first.as_ref().unwrap());
-    let second = fleet.pick(now, &want, || 0.5).map(|s| s.id.clone());
+    let first = fleet.pick(now, &args, || 0.5).map(|s| s.id.clone());
+    fleet.record_sent(now, first.as_ref().unwrap());
+    let second = fleet.pick(now, &args, || 0.5).map(|s| s.id.clone());
 
     expect_that!(first, ok(anything()));
-    expect_that!(second, err(eq(&Lack::Room)));
+    expect_that!(second, err(eq(&Unavailable::Full)));
 }
 
-/// Symptom: half of the requests of a service are refused or late while a tenth of its places are
-/// taken. Sequence: 147 gateways send one request every few seconds each, to six backend servers,
-/// and hear of one of them as seldom. Cause: one request in flight here was taken to stand for
-/// one in flight at each other gateway.
+/// Guards against refusing or delaying half of a service's requests while a tenth of its slots are
+/// taken: 147 gateways send one request every few seconds each to six backend servers, and get
+/// reports as rarely. One request in flight here was taken to mean one at each other gateway.
 #[googletest::test]
-fn one_request_of_a_large_fleets_gateway_does_not_stand_for_all() {
+fn one_request_is_not_extrapolated_to_many_gateways() {
     let mut fleet = fleet(6);
     fleet.peers = 146;
     let mut refused = 0;
     for n in 0..40u64 {
         let now = NOW + Duration::from_secs(n * 5);
         let first = pick(&fleet, now, &[]).unwrap();
-        fleet.sent(now, &first);
+        fleet.record_sent(now, &first);
         match pick(&fleet, now + Duration::from_millis(10), &[]) {
             Ok(second) => {
-                fleet.sent(now, &second);
-                fleet.ended(&second, 0);
+                fleet.record_sent(now, &second);
+                fleet.record_end(&second, 0);
             }
             Err(_) => refused += 1,
         }
-        let light = Told {
+        let light = LoadReport {
             running: 1,
             waiting: 0,
             slots: 4,
         };
-        fleet.told(now + Duration::from_millis(30), &first, light);
-        fleet.ended(&first, 0);
+        fleet.record_load(now + Duration::from_millis(30), &first, light);
+        fleet.record_end(&first, 0);
     }
 
     expect_that!(refused, eq(0));
 }
 
-/// Symptom: the same, after a backend server was seen full once. Sequence: it tells of a full
-/// house, seconds pass, and nothing more is heard. Cause: what was heard last stood for ever.
+/// Guards against the same after a backend server was seen full once: it reports full slots and
+/// nothing follows for seconds. The last report was used forever.
 #[googletest::test]
-fn what_was_heard_fades() {
+fn reported_load_decays() {
     let mut fleet = fleet(6);
     fleet.peers = 146;
-    let full = Told {
+    let full = LoadReport {
         running: 4,
         waiting: 4,
         slots: 4,
     };
     for n in 0..60u64 {
-        fleet.told(NOW + Duration::from_millis(n * 10), "b0", full);
+        fleet.record_load(NOW + Duration::from_millis(n * 10), "b0", full);
     }
 
     let at_once = fleet.mean_load(NOW + Duration::from_millis(700), "s");
@@ -215,24 +221,23 @@
 }
 
 #[googletest::test]
-fn those_tried_leaving_or_gone_are_passed_over() {
+fn tried_leaving_and_removed_servers_are_skipped() {
     let mut fleet = fleet(3);
     let mut leaving = fleet.get("b1").unwrap().clone();
     leaving.leaving = true;
-    fleet.put(leaving);
+    fleet.upsert(leaving);
     fleet.remove("b2");
 
     let tried = ["b0".to_string()];
 
     expect_that!(pick(&fleet, NOW, &[]), ok(eq("b0")));
-    expect_that!(pick(&fleet, NOW, &tried), err(eq(&Lack::Servers)));
+    expect_that!(pick(&fleet, NOW, &tried), err(eq(&Unavailable::NoServers)));
 }
 
-/// Symptom: every third request fails while two backend servers are well. Sequence: one
-/// fails all it gets, its load stays lowest, and it is chosen again. Cause: failures did
-/// not make it dearer.
+/// Guards against every third request failing while two backend servers are sound: one fails all
+/// its requests, so its load stays lowest and it is picked again. Failures did not raise its cost.
 #[googletest::test]
-fn one_that_fails_gets_little() {
+fn failing_server_gets_few_requests() {
     let mut fleet = fleet(3);
     let mut bad = 0;
     for n in 0..100u32 {
@@ -241,9 +246,9 @@
         match id.as_str() {
             "b0" => {
                 bad += 1;
-                fleet.failed(now, &id, false);
+                fleet.record_failure(now, &id, false);
             }
-            _ => fleet.succeeded(now, &id),
+            _ => fleet.record_success(now, &id),
         }
     }
 
@@ -251,60 +256,63 @@
 }
 
 #[googletest::test]
-fn where_all_are_out_the_first_to_be_back_is_tried() {
+fn first_readmitted_is_tried_when_all_are_ejected() {
     let mut fleet = fleet(2);
-    fleet.failed(NOW, "b1", true);
-    fleet.failed(NOW + Duration::from_millis(10), "b0", true);
+    fleet.record_failure(NOW, "b1", true);
+    fleet.record_failure(NOW + Duration::from_millis(10), "b0", true);
 
     let picked = pick(&fleet, NOW + Duration::from_millis(20), &[]);
 
     expect_that!(picked, ok(eq("b1")));
 }
 
-/// Symptom: during an outage of a group every request is sent, rejected and refused, and so
-/// is its caller when it comes back. Sequence: a rank crashes, all others reject at once.
-/// Cause: nothing was learnt from one rank about the others.
-/// Symptom: callers of a group that was never whole wait for it, come back, and wait again. Sequence:
-/// fewer backend servers started than the group has ranks; each probe is rejected. Cause: it was
-/// taken for one that lost a rank a moment ago.
+/// Guards against callers of a group that was never complete waiting, retrying and waiting again:
+/// fewer backend servers started than the group has ranks, and each probe is rejected. It was taken
+/// for a group that had just lost a rank.
 #[googletest::test]
-fn nobody_waits_for_a_group_that_is_down() {
+fn requests_do_not_wait_for_a_group_that_is_down() {
     let mut fleet = fleet(4);
     let after = |s: u64| NOW + Duration::from_secs(s);
-    let lack = |fleet: &Fleet, now: Duration| pick(fleet, now, &[]).unwrap_err();
-    fleet.stands_still(NOW, "b0");
-    let at_first = lack(&fleet, NOW);
+    let reason = |fleet: &Fleet, now: Duration| pick(fleet, now, &[]).unwrap_err();
+    fleet.mark_stalled(NOW, "b0");
+    let at_first = reason(&fleet, NOW);
     for s in 0..=12 {
-        fleet.stands_still(after(s), "b1");
+        fleet.mark_stalled(after(s), "b1");
     }
 
-    let later = lack(&fleet, after(12));
+    let later = reason(&fleet, after(12));
     let probed = pick(&fleet, after(13), &[]);
-    fleet.succeeded(after(13), "b1");
-    fleet.stands_still(after(14), "b0");
+    fleet.record_success(after(13), "b1");
+    fleet.mark_stalled(after(14), "b0");
 
-    expect_that!((at_first, later), eq((Lack::Still, Lack::Down)));
+    expect_that!(
+        (at_first, later),
+        eq((Unavailable::Stalled, Unavailable::Down))
+    );
     expect_that!(probed, ok(anything()));
-    expect_that!(lack(&fleet, after(14)), eq(Lack::Still));
+    expect_that!(reason(&fleet, after(14)), eq(Unavailable::Stalled));
 }
 
+/// Guards against sending every request during an outage of a group, to be rejected and refused,
+/// and its retry as well: a rank crashes and all others reject at once. One rank's rejection was not
+/// applied to the others.
 #[googletest::test]
-fn a_group_that_stands_still_is_probed_only() {
+fn stalled_group_gets_only_probes() {
     let mut fleet = fleet(3);
-    fleet.stands_still(NOW, "b0");
+    fleet.mark_stalled(NOW, "b0");
     let ms = |n| NOW + Duration::from_millis(n);
 
     let at_once = pick(&fleet, ms(100), &[]);
     let probe = pick(&fleet, ms(400), &[]).unwrap();
-    fleet.sent(ms(400), &probe);
+    fleet.record_sent(ms(400), &probe);
     let beside = pick(&fleet, ms(500), &[]);
-    fleet.succeeded(ms(600), &probe);
+    fleet.record_success(ms(600), &probe);
     let after = pick(&fleet, ms(600), &[]);
 
-    expect_that!(at_once, err(eq(&Lack::Still)));
-    expect_that!(beside, err(eq(&Lack::Still)));
+    expect_that!(at_once, err(eq(&Unavailable::Stalled)));
+    expect_that!(beside, err(eq(&Unavailable::Stalled)));
     expect_true!(after.is_ok());
-    expect_false!(fleet.is_still("s"));
+    expect_false!(fleet.is_stalled("s"));
 }
 
 /// A fleet whose backend servers are ranks of two groups: b0 and b1 of `a`, b2 and b3 of `b`.
@@ -313,94 +321,93 @@
     for (n, group) in ["a", "a", "b", "b"].into_iter().enumerate() {
         let address = ([10, 0, 0, n as u8], 80).into();
         let mut server = Server::new(&format!("b{n}"), "s", address, "d", 4);
-        server.join(group);
-        fleet.put(server);
+        server.join_group(group);
+        fleet.upsert(server);
     }
     fleet
 }
 
-/// Symptom: all callers of a service are refused although two thirds of its ranks are well.
-/// Sequence: a rank of one group crashes; its group stands still. Cause: stillness was kept for
-/// the service as a whole.
+/// Guards against refusing all callers of a service although two thirds of its ranks are sound: a
+/// rank of one group crashes and its group stalls. Stalls were tracked per service.
 #[googletest::test]
-fn one_group_that_stands_still_leaves_the_others_alone() {
+fn stalled_group_does_not_affect_others() {
     let mut fleet = two_groups();
 
-    fleet.stands_still(NOW, "b0");
+    fleet.mark_stalled(NOW, "b0");
     let other = pick(&fleet, NOW, &[]);
-    let still = fleet.is_still("s");
-    fleet.stands_still(NOW, "b2");
+    let stalled = fleet.is_stalled("s");
+    fleet.mark_stalled(NOW, "b2");
 
     expect_that!(other, ok(any![eq("b2"), eq("b3")]));
-    expect_false!(still);
-    expect_true!(fleet.is_still("s"));
-    expect_that!(pick(&fleet, NOW, &[]), err(eq(&Lack::Still)));
+    expect_false!(stalled);
+    expect_true!(fleet.is_stalled("s"));
+    expect_that!(pick(&fleet, NOW, &[]), err(eq(&Unavailable::Stalled)));
 }
 
-/// Symptom: callers wait for 1.5 s and are refused then, after a rank ended. Sequence: nobody listens at
-/// the rank any more; requests go on to the other ranks, which cannot work without it and say so only
-/// after that time. Cause: only their word told that the group stands still.
+/// Guards against callers waiting 1.5 s before a refusal after a rank terminated: requests still
+/// went to the other ranks, which cannot work without it and report that only after this time. Only
+/// their reports marked the group as stalled.
 #[googletest::test]
-fn a_group_stands_still_as_soon_as_one_of_its_ranks_has_ended() {
+fn group_is_stalled_once_one_of_its_ranks_terminates() {
     let mut fleet = two_groups();
 
-    let news = fleet.fell(NOW, "b0", 0);
+    let changed = fleet.mark_terminated(NOW, "b0", 0);
     let other = pick(&fleet, NOW, &["b2".into(), "b3".into()]);
 
-    expect_true!(news);
-    expect_that!(other, err(eq(&Lack::Still)));
-    // The other group goes on, and so does this one once a request succeeds there.
+    expect_true!(changed);
+    expect_that!(other, err(eq(&Unavailable::Stalled)));
+    // The other group continues, and so does this one once a request succeeds there.
     expect_that!(pick(&fleet, NOW, &[]), ok(any![eq("b2"), eq("b3")]));
-    fleet.succeeded(NOW, "b1");
+    fleet.record_success(NOW, "b1");
     expect_that!(pick(&fleet, NOW, &["b2".into(), "b3".into()]), ok(eq("b1")));
-    // Whoever tells of it later brings no news, nor does one who means another start.
-    expect_false!(fleet.fell(NOW, "b0", 0));
-    expect_false!(fleet.fell(NOW, "b1", 7));
+    // A later report changes nothing, nor does one about another start.
+    expect_false!(fleet.mark_terminated(NOW, "b0", 0));
+    expect_false!(fleet.mark_terminated(NOW, "b1", 7));
     expect_that!(pick(&fleet, NOW, &["b2".into(), "b3".into()]), ok(eq("b1")));
 }
 
-/// Symptom: streams at one group are late while another is half empty. Sequence: a rank of the
-/// first is slow, so that it bears a third; requests go to all ranks alike. Cause: load was
-/// counted against slots, not against what the group bears.
+/// Guards against late streams at one group while another is half empty: a slow rank leaves the
+/// first a third of its fill limit, but requests go to all ranks alike. Load was compared to the
+/// slots instead of the fill limit.
 #[googletest::test]
-fn a_group_that_bears_less_gets_less() {
+fn group_with_a_lower_fill_limit_gets_fewer_requests() {
     let mut fleet = two_groups();
-    let bears = |unit: &str| if unit == "s/a" { 0.34 } else { 1.0 };
-    let want = Want {
-        room: &bears,
-        ..want(&[])
+    let limits = |unit: &str| if unit == "s/a" { 0.34 } else { 1.0 };
+    let args = PickArgs {
+        fill_limit: &limits,
+        ..args(&[])
     };
     for _ in 0..8 {
-        let id = fleet.pick(NOW, &want, || 0.0).unwrap().id.clone();
-        fleet.sent(NOW, &id);
+        let id = fleet.pick(NOW, &args, || 0.0).unwrap().id.clone();
+        fleet.record_sent(NOW, &id);
     }
 
-    let mine = |id: &str| fleet.get(id).unwrap().mine();
-    expect_that!(mine("b0") + mine("b1"), eq(2));
-    expect_that!(mine("b2") + mine("b3"), eq(6));
+    let in_flight = |id: &str| fleet.get(id).unwrap().in_flight();
+    expect_that!(in_flight("b0") + in_flight("b1"), eq(2));
+    expect_that!(in_flight("b2") + in_flight("b3"), eq(6));
 }
 
-fn paced(fleet: &mut Fleet, id: &str, pace: f64) {
+fn set_slowdown(fleet: &mut Fleet, id: &str, slowdown: f64) {
     let mut server = fleet.get(id).unwrap().clone();
-    server.pace = pace;
-    fleet.put(server);
+    server.slowdown = slowdown;
+    fleet.upsert(server);
 }
 
-/// Symptom: all streams of a group are late while some of its ranks are slow. Sequence: a fifth
-/// of the ranks turn slow; requests go to all alike. Cause: a gateway did not know how fast ranks are.
+/// Guards against late streams throughout a group with some slow ranks: a fifth of the ranks slow
+/// down and requests go to all alike. Gateways did not know the slowdown of ranks.
 #[googletest::test]
-fn slow_ranks_get_nothing_while_most_are_sound() {
+fn slow_ranks_get_no_requests_while_most_are_sound() {
     let mut fleet = fleet(5);
-    paced(&mut fleet, "b1", 2.5);
-    paced(&mut fleet, "b3", 12.0);
-    paced(&mut fleet, "b4", 1.25);
+    set_slowdown(&mut fleet, "b1", 2.5);
+    set_slowdown(&mut fleet, "b3", 12.0);
+    set_slowdown(&mut fleet, "b4", 1.25);
     let mut sent = Vec::new();
     while let Ok(id) = pick(&fleet, NOW, &[]) {
-        fleet.sent(NOW, &id);
+        fleet.record_sent(NOW, &id);
         sent.push(id);
     }
 
-    paced(&mut fleet, "b1", 1.0);
+    set_slowdown(&mut fleet, "b1", 1.0);
     let sound_again = pick(&fleet, NOW, &[]);
 
     expect_that!(sent.len(), eq(12));
@@ -409,14 +416,14 @@
 }
 
 #[googletest::test]
-fn where_most_are_slow_all_are_used() {
+fn all_ranks_are_used_when_most_are_slow() {
     let mut fleet = fleet(3);
-    paced(&mut fleet, "b0", 2.0);
-    paced(&mut fleet, "b1", 2.0);
+    set_slowdown(&mut fleet, "b0", 2.0);
+    set_slowdown(&mut fleet, "b1", 2.0);
 
     let mut sent = 0;
     while let Ok(id) = pick(&fleet, NOW, &[]) {
-        fleet.sent(NOW, &id);
+        fleet.record_sent(NOW, &id);
         sent += 1;
     }
 
--- a/crates/route/tests/pace.rs
+++ b/crates/route/tests/pace.rs
@@ -1,159 +1,170 @@
-//! How a gateway learns what a group bears, without a network.
+//! How a gateway determines the fill limit of a group, without a network.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
-use bn_route::{Bounds, Pace};
+use bn_route::{FillController, PauseBounds};
 use googletest::prelude::*;
 use std::time::Duration;
 
 const NOW: Duration = Duration::from_secs(100);
 
-fn bounds() -> Bounds {
-    Bounds {
-        limit: Duration::from_millis(120),
-        idle: Duration::from_millis(30),
+fn bounds() -> PauseBounds {
+    PauseBounds {
+        max_pause: Duration::from_millis(120),
+        idle_pass: Duration::from_millis(30),
     }
 }
 
-/// Plays a full group for `from..to`, in tens of ms, whose pauses grow with what is admitted,
+/// Simulates a full group for `from..to`, in tens of ms, whose pauses grow with the admitted load
 /// as `pause` says; returns the longest.
-fn play(pace: &mut Pace, from: u64, to: u64, pause: impl Fn(f64) -> u64) -> u64 {
+fn simulate(
+    controller: &mut FillController,
+    from: u64,
+    to: u64,
+    pause: impl Fn(f64) -> u64,
+) -> u64 {
     let mut longest = 0;
     for n in from..to {
-        let (now, room) = (Duration::from_millis(n * 10), pace.room());
-        let pause = pause(room);
+        let (now, limit) = (Duration::from_millis(n * 10), controller.fill_limit());
+        let pause = pause(limit);
         longest = longest.max(pause);
-        pace.saw(now, Duration::from_millis(pause), bounds(), || room);
+        controller.observe_pause(now, Duration::from_millis(pause), bounds(), || limit);
     }
     longest
 }
 
-fn settled_room(pause: impl Fn(f64) -> u64) -> f64 {
-    let mut pace = Pace::default();
-    play(&mut pace, 0, 4_000, pause);
-    pace.room()
+fn settled_limit(pause: impl Fn(f64) -> u64) -> f64 {
+    let mut controller = FillController::default();
+    simulate(&mut controller, 0, 4_000, pause);
+    controller.fill_limit()
 }
 
-/// Symptom: every stream is late whenever the load has grown to what the group bears.
-/// Sequence: room grows step by step until pauses are too long, then shrinks, then grows
-/// again. Cause: the limit was found by passing it, each time.
+/// Guards against every stream being late whenever the load reaches the group's limit: stepwise,
+/// the fill limit rises until pauses are too long, falls, and rises again. The limit was found by
+/// exceeding it each time.
 #[googletest::test]
-fn once_found_the_limit_is_not_passed_again() {
-    let mut pace = Pace::default();
-    let group = |room: f64| 30 + (180.0 * room) as u64;
-    play(&mut pace, 0, 100, group);
+fn limit_is_not_exceeded_again_once_found() {
+    let mut controller = FillController::default();
+    let group = |load: f64| 30 + (180.0 * load) as u64;
+    simulate(&mut controller, 0, 100, group);
 
-    let longest = play(&mut pace, 100, 4_000, group);
+    let longest = simulate(&mut controller, 100, 4_000, group);
 
     expect_that!(longest, all![ge(80), lt(110)]);
 }
 
-/// Symptom: streams that begin seconds after other experts are in demand are late too.
-/// Sequence: each request suddenly costs twice as much of a pass; room shrinks by a sixth
-/// each quarter of a second, while more is let in. Cause: steps where the cost was known.
+/// Guards against late streams that start seconds after the demand for experts shifts: each request
+/// suddenly takes twice as much of a pass, and the fill limit falls by a sixth per quarter of a
+/// second while more is admitted. It was adjusted in steps although the cost was known.
 #[googletest::test]
-fn a_jump_in_cost_is_followed_within_two_windows() {
-    let mut pace = Pace::default();
-    play(&mut pace, 0, 400, |room| 30 + (80.0 * room) as u64);
+fn cost_jump_is_followed_within_two_windows() {
+    let mut controller = FillController::default();
+    simulate(&mut controller, 0, 400, |load| 30 + (80.0 * load) as u64);
 
-    play(&mut pace, 400, 425, |room| 30 + (200.0 * room) as u64);
+    simulate(&mut controller, 400, 425, |load| 30 + (200.0 * load) as u64);
 
-    expect_that!(30.0 + 200.0 * pace.room(), lt(110.0));
+    expect_that!(30.0 + 200.0 * controller.fill_limit(), lt(110.0));
 }
 
 #[googletest::test]
-fn a_group_that_stood_still_once_is_filled_as_before() {
-    let mut pace = Pace::default();
-    let group = |room: f64| 30 + (60.0 * room) as u64;
-    play(&mut pace, 0, 400, group);
+fn single_stall_does_not_lower_the_fill_limit() {
+    let mut controller = FillController::default();
+    let group = |load: f64| 30 + (60.0 * load) as u64;
+    simulate(&mut controller, 0, 400, group);
 
-    play(&mut pace, 400, 413, |_| 900);
+    simulate(&mut controller, 400, 413, |_| 900);
 
-    expect_that!(pace.room(), gt(0.9));
+    expect_that!(controller.fill_limit(), gt(0.9));
 }
 
-/// Symptom: after an outage all streams are late for seconds. Sequence: callers wait for the
-/// group, which runs again with a map that fits no demand; half of its slots are filled at once.
-/// Cause: it was taken to bear what it bore before.
+/// Guards against all streams being late for seconds after an outage: callers wait for the group,
+/// which runs again with a map that fits no demand, and half of its slots are filled at once. The
+/// fill limit from before the outage was still used.
 #[googletest::test]
-fn a_group_that_runs_again_is_filled_from_the_least() {
-    let mut pace = Pace::default();
-    play(&mut pace, 0, 400, |room| 30 + (60.0 * room) as u64);
+fn fill_limit_restarts_at_the_minimum_after_an_outage() {
+    let mut controller = FillController::default();
+    simulate(&mut controller, 0, 400, |load| 30 + (60.0 * load) as u64);
 
-    pace.forget();
-    let room = pace.room();
-    play(&mut pace, 400, 520, |room| 30 + (60.0 * room) as u64);
+    controller.reset();
+    let limit = controller.fill_limit();
+    simulate(&mut controller, 400, 520, |load| 30 + (60.0 * load) as u64);
 
-    expect_that!(room, le(0.25));
-    expect_that!(pace.room(), gt(0.9));
+    expect_that!(limit, le(0.25));
+    expect_that!(controller.fill_limit(), gt(0.9));
 }
 
-/// Symptom: for as long as one rank is slow nine in ten callers are refused, and get no answer at all.
-/// Sequence: passes take longer than allowed however few requests there are; room shrinks to the least
-/// and stays there. Cause: room was for streams in time, of which there can be none.
+/// Guards against refusing nine in ten callers, without any answer, for as long as one rank is
+/// slow: passes take longer than allowed at any load, and the fill limit falls to the minimum and
+/// stays there. It only served streams in time, of which there can be none.
 #[googletest::test]
-fn where_nobody_can_be_in_time_late_answers_are_better_than_none() {
-    let beside_a_slow_rank = |ms: u64| Bounds {
-        idle: Duration::from_millis(ms),
+fn late_answers_are_allowed_when_none_can_be_in_time() {
+    let with_slow_rank = |ms: u64| PauseBounds {
+        idle_pass: Duration::from_millis(ms),
         ..bounds()
     };
     let mut now = NOW;
-    let mut settled = |pace: &mut Pace, bounds: Bounds, pause: &dyn Fn(f64) -> u64| {
+    let mut settled = |controller: &mut FillController,
+                       bounds: PauseBounds,
+                       pause: &dyn Fn(f64) -> u64| {
         for _ in 0..4_000 {
             now += Duration::from_millis(10);
-            let room = pace.room().min(1.0);
-            pace.saw(now, Duration::from_millis(pause(room)), bounds, || room);
+            let limit = controller.fill_limit().min(1.0);
+            controller.observe_pause(now, Duration::from_millis(pause(limit)), bounds, || limit);
         }
-        pace.room()
+        controller.fill_limit()
     };
-    let mut pace = Pace::default();
+    let mut controller = FillController::default();
 
-    let slow = settled(&mut pace, beside_a_slow_rank(170), &|room| {
-        170 + (60.0 * room) as u64
+    let slow = settled(&mut controller, with_slow_rank(170), &|load| {
+        170 + (60.0 * load) as u64
     });
-    let hopeless = settled(&mut Pace::default(), beside_a_slow_rank(400), &|room| {
-        400 + (60.0 * room) as u64
+    let hopeless = settled(
+        &mut FillController::default(),
+        with_slow_rank(400),
+        &|load| 400 + (60.0 * load) as u64,
+    );
+    let sound_again = settled(&mut controller, bounds(), &|load| {
+        30 + (200.0 * load) as u64
     });
-    let sound_again = settled(&mut pace, bounds(), &|room| 30 + (200.0 * room) as u64);
 
     expect_that!(slow, gt(0.9));
-    // No caller would wait for the end of such a stream.
-    expect_that!(hopeless, le(Pace::FIRST));
+    // No caller would wait for such a stream to end.
+    expect_that!(hopeless, le(FillController::INITIAL));
     expect_that!(30.0 + 200.0 * sound_again, lt(118.0));
 }
 
-/// Symptom: all streams are late at once. Sequence: the group is filled up to its slots
-/// and every pass takes longer than the allowed pause. Cause: slots alone were the limit.
+/// Guards against all streams being late at once: the group is filled up to its slots and every
+/// pass takes longer than the allowed pause. Slots were the only limit.
 #[googletest::test]
-fn as_much_is_admitted_as_stays_in_time() {
-    let slow = settled_room(|room| 40 + (200.0 * room) as u64);
-    let quick = settled_room(|room| 20 + (40.0 * room) as u64);
+fn load_is_admitted_up_to_the_allowed_pause() {
+    let slow = settled_limit(|load| 40 + (200.0 * load) as u64);
+    let quick = settled_limit(|load| 20 + (40.0 * load) as u64);
 
     let pause = 40.0 + 200.0 * slow;
-    // In time is what stays below 120 ms, with a little left for the slowest tenth.
+    // In time is below 120 ms, with some margin for the slowest tenth.
     expect_that!(pause, all![ge(80.0), lt(118.0)]);
     expect_that!(quick, gt(0.999));
 }
 
 #[googletest::test]
-fn some_requests_are_admitted_whatever_the_pauses() {
-    let room = settled_room(|_| 500);
+fn some_requests_are_admitted_at_any_pause() {
+    let limit = settled_limit(|_| 500);
 
-    expect_that!(room, gt(0.1));
+    expect_that!(limit, gt(0.1));
 }
 
-/// Symptom: for half a second after an outage callers are refused by a group that is nearly
-/// empty. Sequence: room is the least, a gateway has three streams, and sees three pauses a
-/// window. Cause: windows with too few pauses were thrown away.
+/// Guards against refusing callers for half a second after an outage while the group is nearly
+/// empty: at the minimum fill limit a gateway has three streams, and sees three pauses per window.
+/// Windows with too few pauses were discarded.
 #[googletest::test]
-fn few_streams_suffice_to_learn_the_room() {
-    let mut pace = Pace::default();
+fn few_streams_suffice_to_raise_the_fill_limit() {
+    let mut controller = FillController::default();
 
     for n in 0..24u64 {
-        // Three streams, a pause of 50 ms each, one after the other.
+        // Three streams with a pause of 50 ms each, one after the other.
         let now = Duration::from_millis(n * 50);
-        pace.saw(now, Duration::from_millis(50), bounds(), || 0.25);
+        controller.observe_pause(now, Duration::from_millis(50), bounds(), || 0.25);
     }
 
-    expect_that!(pace.room(), gt(0.45));
+    expect_that!(controller.fill_limit(), gt(0.45));
 }
