--- a/crates/limit/tests/limits.rs
+++ b/crates/limit/tests/limits.rs
@@ -20,7 +20,7 @@
 }
 
 /// Request with this sequence number, after applying the answer to `applied`.
-fn sequenced(
+fn share_request(
     entry: &str,
     demand: f64,
     until: Duration,
@@ -42,7 +42,7 @@
 /// A request after applying the answer to the one before it.
 fn request(entry: &str, demand: f64, until: Duration) -> ShareRequest<'_> {
     let sequence = until.as_millis() as u64;
-    sequenced(entry, demand, until, sequence, sequence - 1)
+    share_request(entry, demand, until, sequence, sequence - 1)
 }
 
 /// Guards against an account getting more than its rate: demand moves between entries, answers are
@@ -67,7 +67,7 @@
             let applied = shares.get(&entry).map_or(0, |(_, _, n)| *n);
             let share = allocator.allocate(
                 now,
-                &sequenced(&name, demand, now + LEASE, step + 1, applied),
+                &share_request(&name, demand, now + LEASE, step + 1, applied),
             );
             if rng.random_bool(0.8) {
                 shares.insert(entry, (share, now + LEASE, step + 1));
@@ -247,9 +247,9 @@
             .unwrap();
     }
 
-    let gone = queue.remove_if(|e| e.id % 2 == 0);
+    let removed = queue.remove_if(|r| r.id % 2 == 0);
 
-    expect_that!((gone.len(), queue.len()), eq((5, 5)));
+    expect_that!((removed.len(), queue.len()), eq((5, 5)));
 }
 
 /// Guards against requests that could be in time waiting behind those that cannot: late ones are
--- a/crates/route/tests/budget.rs
+++ b/crates/route/tests/budget.rs
@@ -57,12 +57,12 @@
         detector.is_retry(Duration::from_secs(s), "r", Duration::from_millis(wait))
     };
 
-    let first = [is_retry(0, 8_000), is_retry(1, 6_850), is_retry(2, 7_990)];
-    let again = [is_retry(3, 6_600), is_retry(12, 6_600), is_retry(15, 3_000)];
+    let first_attempts = [is_retry(0, 8_000), is_retry(1, 6_850), is_retry(2, 7_990)];
+    let retries = [is_retry(3, 6_600), is_retry(12, 6_600), is_retry(15, 3_000)];
     // Later callers wait less.
     let others = [is_retry(40, 5_000), is_retry(41, 5_000)];
 
-    expect_that!(first, eq([false; 3]));
-    expect_that!(again, eq([true; 3]));
+    expect_that!(first_attempts, eq([false; 3]));
+    expect_that!(retries, eq([true; 3]));
     expect_that!(others, eq([false; 2]));
 }
--- a/crates/route/tests/fleet.rs
+++ b/crates/route/tests/fleet.rs
@@ -198,8 +198,8 @@
     expect_that!(refused, eq(0));
 }
 
-/// Guards against the same after a backend server was seen full once: it reports full slots and
-/// nothing follows for seconds. The last report was used forever.
+/// Guards against the same refusals after a backend server was seen full once: it reports full
+/// slots and nothing follows for seconds. The last report was used forever.
 #[googletest::test]
 fn reported_load_decays() {
     let mut fleet = fleet(6);
@@ -305,12 +305,12 @@
     let at_once = pick(&fleet, ms(100), &[]);
     let probe = pick(&fleet, ms(400), &[]).unwrap();
     fleet.record_sent(ms(400), &probe);
-    let beside = pick(&fleet, ms(500), &[]);
+    let meanwhile = pick(&fleet, ms(500), &[]);
     fleet.record_success(ms(600), &probe);
     let after = pick(&fleet, ms(600), &[]);
 
     expect_that!(at_once, err(eq(&Unavailable::Stalled)));
-    expect_that!(beside, err(eq(&Unavailable::Stalled)));
+    expect_that!(meanwhile, err(eq(&Unavailable::Stalled)));
     expect_true!(after.is_ok());
     expect_false!(fleet.is_stalled("s"));
 }
