--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -1,4 +1,4 @@
-//! A leader-based replicated log, written as a pure state machine: it is given messages and the
+//! A leader-based replicated log, written as a pure state machine: it is given inputs and the
 //! time, and returns what to store, send and apply. It uses no thread, socket, disk or clock. The
 //! caller must store and sync an [`Output`] before it sends the messages of that same output.
 
--- a/crates/quorum/src/votes.rs
+++ b/crates/quorum/src/votes.rs
@@ -42,7 +42,7 @@
             };
             self.output.messages.push((id, message));
         }
-        self.count(now);
+        self.count_votes(now);
     }
 
     pub(crate) fn on_vote_request(
@@ -124,11 +124,11 @@
             && !self.votes.iter().any(|v| v == from);
         if counts {
             self.votes.push(from.into());
-            self.count(now);
+            self.count_votes(now);
         }
     }
 
-    fn count(&mut self, now: Duration) {
+    fn count_votes(&mut self, now: Duration) {
         let voter = |id: &&String| self.members.get(*id).is_some_and(|m| m.voter);
         if self.votes.iter().filter(voter).count() < quorum_size(&self.members) {
             return;
--- a/crates/quorum/tests/members.rs
+++ b/crates/quorum/tests/members.rs
@@ -193,9 +193,9 @@
         },
         3,
     );
-    let current = |w: &mut Simulation, i: usize| {
-        let now = w.clock(i);
-        w.replica(i).is_current(now, within)
+    let current = |sim: &mut Simulation, i: usize| {
+        let now = sim.clock(i);
+        sim.replica(i).is_current(now, within)
     };
     expect_true!((0..6).all(|i| current(&mut sim, i)));
     for i in 0..6 {
