--- a/crates/quorum/tests/members.rs
+++ b/crates/quorum/tests/members.rs
@@ -12,7 +12,7 @@
 use simulation::{Action, ClusterConfig, Simulation};
 use std::time::Duration;
 
-/// Steps of 10 ms within which all running replicas must be voters again: 3 s, as on an idle core.
+/// Steps of 10 ms within which all running replicas vote again, 3 s, if no further fault occurs.
 const MAX_STEPS: usize = 300;
 /// Steps within which a log of nine replicas must have all of them as voters.
 const START_STEPS: usize = 1_500;
