--- a/crates/route/tests/fleet.rs
+++ b/crates/route/tests/fleet.rs
@@ -293,9 +293,9 @@
     expect_that!(reason(&fleet, after(14)), eq(Unavailable::Stalled));
 }
 
-/// Guards against sending every request during an outage of a group, to be rejected and refused,
-/// and its retry as well: a rank crashes and all others reject at once. One rank's rejection was not
-/// applied to the others.
+/// Guards against sending every request during an outage of a group, and its retry as well, only
+/// for it to be rejected and refused: a rank crashes and all others reject at once. One rank's
+/// rejection was not applied to the others.
 #[googletest::test]
 fn stalled_group_gets_only_probes() {
     let mut fleet = fleet(3);
