--- a/crates/backpressure/src/lib.rs
+++ b/crates/backpressure/src/lib.rs
@@ -6,16 +6,16 @@
 //! may send there, and how often ([`gap`]). Rest is asked of one gateway, and is its own ([`Rest`]). What follows
 //! of all that at one gateway is [`Terms`].
 
+mod backoff;
 mod limit;
-mod rest;
-mod share;
-mod terms;
+mod senders;
+mod state;
 mod wire;
 
+pub use backoff::Rest;
 pub use limit::{Limit, Limited, Turn};
-pub use rest::Rest;
-pub use share::{Share, gap};
-pub use terms::{Answer, Asked, Terms};
+pub use senders::{Share, gap};
+pub use state::{Answer, Asked, Terms};
 pub use wire::BadLimit;
 
 /// Id of a backend server.
--- a/crates/backpressure/src/terms.rs
+++ b/crates/backpressure/src/state.rs
@@ -1,8 +1,8 @@
 //! What one start of a backend server asks for, and what follows at one gateway.
 
+use crate::backoff::Rest;
 use crate::limit::{Limit, stricter};
-use crate::rest::Rest;
-use crate::share::{Share, gap};
+use crate::senders::{Share, gap};
 use crate::{ServerId, Turn};
 use std::time::Duration;
 
--- a/crates/claim/src/holder.rs
+++ b/crates/claim/src/holder.rs
@@ -1,6 +1,6 @@
 //! One holder's claims.
 
-use crate::chain::ChainId;
+use crate::pending::ChainId;
 use crate::{Epoch, Key};
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
--- a/crates/claim/src/lib.rs
+++ b/crates/claim/src/lib.rs
@@ -3,15 +3,15 @@
 //! only, and refuse what they cannot know about. The gate before a backend server keeps
 //! late and repeated dispatches from starting. Pure decisions.
 
-mod chain;
 mod gate;
 mod holder;
 mod holders;
+mod pending;
 
-pub use chain::{Chain, ChainId, Outcome};
 pub use gate::{FULL, Gate, RunKey};
 pub use holder::{Answer, Holder};
 pub use holders::{HOLDERS, choose, minted};
+pub use pending::{Chain, ChainId, Outcome};
 
 /// An idempotency key, with its account before it.
 pub type Key = String;
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -9,14 +9,14 @@
 
 mod case;
 mod digest;
+mod losses;
 mod table;
 mod trials;
-mod watch;
 mod wire;
 
 pub use case::{Case, Standing, Start};
 pub use digest::{Digest, digest, from_text, to_text};
+pub use losses::{End, Lost, Next, Watch};
 pub use table::{Table, Told, Turn};
 pub use trials::Trials;
-pub use watch::{End, Lost, Next, Watch};
 pub use wire::{NoDigest, read_digest};
