--- a/crates/backpressure/src/backoff.rs
+++ b/crates/backpressure/src/backoff.rs
@@ -1,58 +1,60 @@
-//! The rest that a backend server wants of one gateway.
+//! The backoff that a backend server requests of one gateway.
 
 use std::time::Duration;
 
-/// Longest rest that is kept, however long a backend server wants it: one that never answers again because
-/// of a slip is asked once an hour.
-const LONGEST: Duration = Duration::from_secs(3_600);
-/// Gateways that were turned away together come back spread over this part of the rest, and at the most
-/// over this time.
-const SPREAD: f64 = 0.1;
-const MOST_SPREAD: Duration = Duration::from_millis(300);
-/// After the rest one request goes there, and the next after this time: until one was taken, more would be
-/// turned away as those before.
-const TRY_GAP: Duration = Duration::from_millis(500);
-
-/// A rest, until a request was answered that was sent after it.
+/// Longest backoff that is honoured: a backend server that by mistake requests a longer one, or an
+/// endless one, is probed once an hour.
+const MAX_BACKOFF: Duration = Duration::from_secs(3_600);
+/// Gateways that were turned away together return spread over this fraction of the backoff, and at
+/// most over `MAX_JITTER`.
+const JITTER: f64 = 0.1;
+const MAX_JITTER: Duration = Duration::from_millis(300);
+/// After the backoff a single request is sent, and the next one after this interval: until one was
+/// accepted, more would be turned away like those before.
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
+
+/// A backoff. It lasts until a request sent after it was answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Rest {
-    asked_at: Duration,
+pub struct Backoff {
+    requested_at: Duration,
     until: Duration,
 }
 
-impl Rest {
-    /// A backend server wants this long a rest now; `draw` is a number in `0..1`. None where it wants none.
-    pub fn asked(now: Duration, time: Duration, draw: f64) -> Option<Rest> {
-        let time = time.min(LONGEST);
-        let spread = time.mul_f64(SPREAD).min(MOST_SPREAD).mul_f64(draw);
-        let rest = Rest {
-            asked_at: now,
-            until: now + time + spread,
+impl Backoff {
+    /// A backoff of length `time` requested at `now`; `None` if `time` is zero. `draw` is a random
+    /// number in `0..1`.
+    pub fn new(now: Duration, time: Duration, draw: f64) -> Option<Backoff> {
+        let time = time.min(MAX_BACKOFF);
+        let jitter = time.mul_f64(JITTER).min(MAX_JITTER).mul_f64(draw);
+        let backoff = Backoff {
+            requested_at: now,
+            until: now + time + jitter,
         };
-        (!time.is_zero()).then_some(rest)
+        (!time.is_zero()).then_some(backoff)
     }
 
-    /// The same or a later end, where another answer wants it: answers overtake each other, and a rest that
-    /// was asked for holds.
-    pub fn and(self, other: Rest) -> Rest {
-        Rest {
-            asked_at: self.asked_at.max(other.asked_at),
+    /// Merges a backoff from another response. The later end wins: responses overtake each other,
+    /// and a requested backoff is never shortened.
+    pub fn merge(self, other: Backoff) -> Backoff {
+        Backoff {
+            requested_at: self.requested_at.max(other.requested_at),
             until: self.until.max(other.until),
         }
     }
 
-    /// When the next request may go.
+    /// When the next request may be sent.
     pub fn until(&self) -> Duration {
         self.until
     }
 
-    /// A request goes there to find out whether more may.
-    pub(crate) fn tried(&mut self, now: Duration) {
-        self.until = self.until.max(now + TRY_GAP);
+    /// A request is sent to probe whether more are accepted.
+    pub(crate) fn on_probe(&mut self, now: Duration) {
+        self.until = self.until.max(now + PROBE_INTERVAL);
     }
 
-    /// An answer that asks for none ends it, if its request was sent after the rest was asked for.
-    pub(crate) fn is_over(&self, sent: Duration) -> bool {
-        sent > self.asked_at
+    /// Whether a response that requests no backoff ends this one: only if its request was sent
+    /// after the backoff was requested.
+    pub(crate) fn ends_with(&self, sent_at: Duration) -> bool {
+        sent_at > self.requested_at
     }
 }
--- a/crates/backpressure/src/lib.rs
+++ b/crates/backpressure/src/lib.rs
@@ -1,10 +1,11 @@
-//! What backend servers ask of those that send them requests. Plain decisions: answers and the time
-//! go in; when a request may be sent comes out.
+//! Backpressure that backend servers apply to those that send them requests. Pure decision logic:
+//! responses and the time go in, and when a request may be sent comes out.
 //!
-//! A limit is of one start of a backend server and binds all gateways together ([`Limit`]). Gateways
-//! tell it each other by way of the coordinators, and each knows from the list of all whether it is one of the few that
-//! may send there, and how often ([`gap`]). Rest is asked of one gateway, and is its own ([`Rest`]). What follows
-//! of all that at one gateway is [`Terms`].
+//! A [`Limit`] belongs to one start of a backend server and binds all gateways together. Gateways
+//! exchange it through the coordinators, and each derives from the list of all gateways whether it
+//! is one of the few that may send there, and how often ([`send_interval`]). A [`Backoff`] is
+//! requested of a single gateway and applies to that gateway only. [`Backpressure`] combines both
+//! for one gateway.
 
 mod backoff;
 mod limit;
@@ -12,13 +13,13 @@
 mod state;
 mod wire;
 
-pub use backoff::Rest;
-pub use limit::{Limit, Limited, Turn};
-pub use senders::{Share, gap};
-pub use state::{Answer, Asked, Terms};
-pub use wire::BadLimit;
+pub use backoff::Backoff;
+pub use limit::{Limit, LimitVersion, ServerLimit};
+pub use senders::{GatewaySet, send_interval};
+pub use state::{Backpressure, Directives, Feedback};
+pub use wire::InvalidLimit;
 
 /// Id of a backend server.
 pub type ServerId = String;
-/// Which start of a backend server, in Unix milliseconds; 0 where it does not tell.
-pub type Began = u64;
+/// Start time of a backend server in Unix milliseconds; 0 if it does not report one.
+pub type StartTime = u64;
--- a/crates/backpressure/src/limit.rs
+++ b/crates/backpressure/src/limit.rs
@@ -1,42 +1,43 @@
-//! Requests a second that a start of a backend server takes from all gateways together.
+//! Requests per second that one start of a backend server accepts from all gateways together.
 
-use crate::{Began, ServerId};
+use crate::{ServerId, StartTime};
 
-/// Counts the changes of a limit: what is learnt after another word has a higher one, at whichever gateway.
-pub type Turn = u64;
+/// Counts the changes of a limit: a change learnt after another has a higher version, at whichever
+/// gateway.
+pub type LimitVersion = u64;
 
-/// The limit of one start of a backend server, as far as is known.
+/// The limit of one start of a backend server, as far as it is known.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Limit {
-    /// Requests a second; none where it takes what comes.
+    /// Requests per second; `None` if there is no limit.
     pub rate: Option<f64>,
-    /// Number of this word; 0 where none was ever heard.
-    pub turn: Turn,
+    /// Version of this limit; 0 if none was ever received.
+    pub version: LimitVersion,
 }
 
 impl Limit {
-    /// The one that holds where both were heard: the later; of two that followed the same word the
-    /// stricter, so that all come to the same whichever they hear first.
-    pub fn or(self, other: Limit) -> Limit {
-        let newer = other.turn > self.turn;
-        let stricter = other.turn == self.turn && stricter(other.rate, self.rate);
+    /// Merges two views of a limit: the higher version wins. Of two with the same version the
+    /// stricter one does, so that all processes converge whichever they receive first.
+    pub fn merge(self, other: Limit) -> Limit {
+        let newer = other.version > self.version;
+        let stricter = other.version == self.version && stricter(other.rate, self.rate);
         if newer || stricter { other } else { self }
     }
 }
 
-/// The limit of a start of a backend server, as it is told.
+/// The limit of one start of a backend server, as processes exchange it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Limited {
-    /// Its id.
+pub struct ServerLimit {
+    /// Id of the backend server.
     pub id: ServerId,
-    /// The start.
-    pub began: Began,
-    /// What is known.
+    /// Start time of the backend server.
+    pub began: StartTime,
+    /// The limit.
     pub limit: Limit,
 }
 
-/// Whether fewer requests are allowed by `rate` than by `other`.
+/// Whether `rate` allows fewer requests than `other`.
 pub(crate) fn stricter(rate: Option<f64>, other: Option<f64>) -> bool {
-    let most = |rate: Option<f64>| rate.unwrap_or(f64::INFINITY);
-    most(rate) < most(other)
+    let max = |rate: Option<f64>| rate.unwrap_or(f64::INFINITY);
+    max(rate) < max(other)
 }
--- a/crates/backpressure/src/state.rs
+++ b/crates/backpressure/src/state.rs
@@ -1,229 +1,246 @@
-//! What one start of a backend server asks for, and what follows at one gateway.
+//! Backpressure of one start of a backend server, as one gateway applies it.
 
-use crate::backoff::Rest;
+use crate::backoff::Backoff;
 use crate::limit::{Limit, stricter};
-use crate::senders::{Share, gap};
-use crate::{ServerId, Turn};
+use crate::senders::{GatewaySet, send_interval};
+use crate::{LimitVersion, ServerId};
 use std::time::Duration;
 
-/// A gateway that was not one of those that may send waits for so long before it does: whoever sent
-/// until now may not have heard of the change. Twice the time that gateways take to hear of it.
-const STEP_IN: Duration = Duration::from_secs(2);
+/// A gateway that becomes one of the senders waits this long before it sends: the previous sender
+/// may not have received the change yet. Twice the time that a change takes to reach the gateways.
+const JOIN_DELAY: Duration = Duration::from_secs(2);
 
-/// A limit rises or ends with an answer to a request that was sent so long after the last one that named it. A
-/// backend server may name it in some answers only, and by turns it would be sent what it takes and all.
-const HOLDS: Duration = Duration::from_secs(1);
+/// A limit is raised or lifted by a response to a request sent at least this long after the last
+/// one that named the limit. A backend server may name it in some responses only, and would
+/// otherwise alternate between its limit and the full load.
+const LIMIT_HOLD: Duration = Duration::from_secs(1);
 
-/// Between two tellings of values that change with each answer.
-const TELL_GAP: Duration = Duration::from_secs(1);
+/// Minimum interval between reports of values that change with every response.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A limit that rises by less than this factor stays as it is: one that is worked out anew for each answer
-/// would be told to all gateways as often.
-const RAISED: f64 = 1.25;
+/// A limit that rises by less than this factor is left unchanged: one that the backend server
+/// recomputes for every response would be sent to all gateways as often.
+const MIN_INCREASE: f64 = 1.25;
 
-/// What an answer of a backend server asks for.
+/// What a response of a backend server requests of its senders.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Asked {
-    /// Requests a second that it takes from all gateways together.
+pub struct Directives {
+    /// Requests per second that it accepts from all gateways together.
     pub limit: Option<f64>,
-    /// It wants nothing from this gateway for so long.
-    pub rest: Option<Duration>,
-    /// It takes no new work any more.
+    /// It accepts no requests from this gateway for this long.
+    pub backoff: Option<Duration>,
+    /// It accepts no new work any more.
     pub leaving: bool,
-    /// Something in it cannot be read, and counts as not said.
-    pub unread: bool,
+    /// A directive could not be parsed and is ignored.
+    pub malformed: bool,
 }
 
-/// An answer of a start of a backend server.
+/// A response from one start of a backend server.
 #[derive(Debug, Clone, Copy)]
-pub struct Answer {
-    /// What it asks for.
-    pub asked: Asked,
+pub struct Feedback {
+    /// Its directives.
+    pub directives: Directives,
     /// When its request was sent.
-    pub sent: Duration,
-    /// It is surely the backend server's own, to that request. What another one asks for counts, and
-    /// what it does not ask for says nothing.
-    pub own: bool,
+    pub sent_at: Duration,
+    /// It certainly comes from the backend server itself, in response to that request. Directives
+    /// of any other response count, but their absence means nothing.
+    pub authentic: bool,
 }
 
 /// Whether, and how often, this gateway may send while there is a limit.
 #[derive(Debug, Clone, Copy, Default)]
-struct Gate {
-    /// Time between two requests; none where others send.
-    gap: Option<Duration>,
-    /// When the next request may go.
-    due: Duration,
+struct Schedule {
+    /// Interval between two requests; `None` if only others send.
+    interval: Option<Duration>,
+    /// When the next request may be sent.
+    next_at: Duration,
 }
 
-/// What one start of a backend server asks for, as far as this gateway knows.
+/// Backpressure of one start of a backend server, as far as this gateway knows.
 #[derive(Debug, Clone, Default)]
-pub struct Terms {
-    asked: Asked,
-    /// When answers began to ask for that.
-    asked_at: Duration,
+pub struct Backpressure {
+    directives: Directives,
+    /// When responses began to carry these directives.
+    directives_since: Duration,
     limit: Limit,
-    /// When the limit became known here, or was named last.
-    named: Duration,
-    /// While there is a limit.
-    gate: Option<Gate>,
-    /// Until an answer shows that it is over.
-    rest: Option<Rest>,
-    /// It said that it takes no new work. No start of it takes that back.
+    /// When the limit became known here or was last named.
+    limit_named_at: Duration,
+    /// Set while there is a limit.
+    schedule: Option<Schedule>,
+    /// Set until a response shows that it is over.
+    backoff: Option<Backoff>,
+    /// It said that it accepts no new work. This start never revokes that.
     leaving: bool,
-    /// Counts what changed of when requests may be sent.
-    mark: u64,
+    /// Number of changes of when requests may be sent.
+    changes: u64,
 }
 
-impl Terms {
-    /// Takes in an answer; where it asks for something else than the one before, how long that was asked.
-    /// `draw` is a number in `0..1`: gateways that learn of a limit together don't send together.
-    pub fn heard(
+impl Backpressure {
+    /// Applies a response. If its directives differ from those before, returns how long those
+    /// applied. `draw` is a random number in `0..1`: gateways that learn of a limit together must
+    /// not send together.
+    pub fn on_response(
         &mut self,
         now: Duration,
         id: &ServerId,
-        answer: &Answer,
-        share: &Share,
+        feedback: &Feedback,
+        set: &GatewaySet,
         draw: f64,
     ) -> Option<Duration> {
-        let news = self.note(now, answer.asked);
-        let rate = answer.asked.limit;
-        let raised = stricter(self.limit.rate.map(|r| r * RAISED), rate);
+        let changed = self.note(now, feedback.directives);
+        let rate = feedback.directives.limit;
+        let raised = stricter(self.limit.rate.map(|r| r * MIN_INCREASE), rate);
         if !raised {
-            self.named = now;
+            self.limit_named_at = now;
         }
-        // Answers overtake each other: what was asked before the word came may be older than the word.
-        let later = answer.own && answer.sent >= self.named + HOLDS;
+        // Responses overtake each other: one to an earlier request may be older than the limit.
+        let later = feedback.authentic && feedback.sent_at >= self.limit_named_at + LIMIT_HOLD;
         if (raised && later) || stricter(rate, self.limit.rate) {
-            let turn = self.limit.turn + 1;
-            self.follow(now, id, Limit { rate, turn }, share, draw);
+            let version = self.limit.version + 1;
+            self.adopt(now, id, Limit { rate, version }, set, draw);
         }
-        self.rest(now, answer, draw);
-        self.leaving |= answer.asked.leaving;
-        news
+        self.update_backoff(now, feedback, draw);
+        self.leaving |= feedback.directives.leaving;
+        changed
     }
 
-    fn note(&mut self, now: Duration, asked: Asked) -> Option<Duration> {
-        let kinds = |a: &Asked| (a.limit.is_some(), a.rest.is_some(), a.leaving, a.unread);
-        let same = kinds(&self.asked) == kinds(&asked);
-        if self.asked == asked || (same && now < self.asked_at + TELL_GAP) {
+    fn note(&mut self, now: Duration, directives: Directives) -> Option<Duration> {
+        let kinds = |d: &Directives| {
+            (
+                d.limit.is_some(),
+                d.backoff.is_some(),
+                d.leaving,
+                d.malformed,
+            )
+        };
+        let same = kinds(&self.directives) == kinds(&directives);
+        if self.directives == directives || (same && now < self.directives_since + REPORT_INTERVAL)
+        {
             return None;
         }
-        self.asked = asked;
-        let before = std::mem::replace(&mut self.asked_at, now);
+        self.directives = directives;
+        let before = std::mem::replace(&mut self.directives_since, now);
         Some(now.saturating_sub(before))
     }
 
-    /// It said with an answer that it leaves.
+    /// It said in a response that it is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    fn rest(&mut self, now: Duration, answer: &Answer, draw: f64) {
-        let asked = answer.asked.rest;
-        let asked = asked.and_then(|time| Rest::asked(now, time, draw));
-        match (self.rest, asked) {
-            (held, Some(rest)) => {
-                self.rest = Some(held.map_or(rest, |held| held.and(rest)));
-                self.mark += 1;
+    fn update_backoff(&mut self, now: Duration, feedback: &Feedback, draw: f64) {
+        let requested = feedback.directives.backoff;
+        let requested = requested.and_then(|time| Backoff::new(now, time, draw));
+        match (self.backoff, requested) {
+            (current, Some(new)) => {
+                self.backoff = Some(current.map_or(new, |current| current.merge(new)));
+                self.changes += 1;
+            }
+            (Some(current), None) if feedback.authentic && current.ends_with(feedback.sent_at) => {
+                self.backoff = None
             }
-            (Some(held), None) if answer.own && held.is_over(answer.sent) => self.rest = None,
             (_, None) => {}
         }
     }
 
-    /// Takes in what others know of the limit; `true` where that is news.
-    pub fn learn(
+    /// Merges what others know of the limit; `true` if that changes it.
+    pub fn merge_limit(
         &mut self,
         now: Duration,
         id: &ServerId,
         limit: Limit,
-        share: &Share,
+        set: &GatewaySet,
         draw: f64,
     ) -> bool {
-        let limit = self.limit.or(limit);
-        let news = limit != self.limit;
-        if news {
-            self.follow(now, id, limit, share, draw);
+        let limit = self.limit.merge(limit);
+        let changed = limit != self.limit;
+        if changed {
+            self.adopt(now, id, limit, set, draw);
         }
-        news
+        changed
     }
 
-    fn follow(&mut self, now: Duration, id: &ServerId, limit: Limit, share: &Share, draw: f64) {
+    fn adopt(&mut self, now: Duration, id: &ServerId, limit: Limit, set: &GatewaySet, draw: f64) {
         self.limit = limit;
-        self.named = now;
-        self.reshare(now, id, share, draw);
+        self.limit_named_at = now;
+        self.reschedule(now, id, set, draw);
     }
 
-    /// The limit, or the list of gateways, is another one.
-    pub fn reshare(&mut self, now: Duration, id: &ServerId, share: &Share, draw: f64) {
+    /// Recomputes the schedule after a change of the limit or of the list of gateways.
+    pub fn reschedule(&mut self, now: Duration, id: &ServerId, set: &GatewaySet, draw: f64) {
         let Some(rate) = self.limit.rate else {
-            self.mark += u64::from(self.gate.take().is_some());
+            self.changes += u64::from(self.schedule.take().is_some());
             return;
         };
-        let gap = gap(rate, id, share);
-        let first = self.gate.is_none();
-        let gate = self.gate.get_or_insert_default();
-        if !first && gate.gap == gap {
+        let interval = send_interval(rate, id, set);
+        let first = self.schedule.is_none();
+        let schedule = self.schedule.get_or_insert_default();
+        if !first && schedule.interval == interval {
             return;
         }
-        self.mark += 1;
-        match (gate.gap, gap) {
-            (Some(before), Some(gap)) => gate.due = gate.due.saturating_sub(before) + gap,
-            (None, Some(gap)) => {
-                let step_in = if first { Duration::ZERO } else { STEP_IN };
-                gate.due = gate.due.max(now + step_in + gap.mul_f64(draw));
+        self.changes += 1;
+        match (schedule.interval, interval) {
+            (Some(before), Some(interval)) => {
+                schedule.next_at = schedule.next_at.saturating_sub(before) + interval
+            }
+            (None, Some(interval)) => {
+                let delay = if first { Duration::ZERO } else { JOIN_DELAY };
+                schedule.next_at = schedule.next_at.max(now + delay + interval.mul_f64(draw));
             }
             (_, None) => {}
         }
-        gate.gap = gap;
+        schedule.interval = interval;
     }
 
-    /// When the next request may be sent; in the past where one may be now. None where others send.
-    pub fn open_at(&self) -> Option<Duration> {
-        let rested = self.rest.map_or(Duration::ZERO, |r| r.until());
-        match &self.gate {
-            None => Some(rested),
-            Some(gate) => gate.gap.map(|_| gate.due.max(rested)),
+    /// When the next request may be sent; in the past if one may be sent now. `None` if only others
+    /// send.
+    pub fn next_send_at(&self) -> Option<Duration> {
+        let backoff_end = self.backoff.map_or(Duration::ZERO, |b| b.until());
+        match &self.schedule {
+            None => Some(backoff_end),
+            Some(schedule) => schedule.interval.map(|_| schedule.next_at.max(backoff_end)),
         }
     }
 
-    /// It had asked for rest, and nobody knows yet whether it takes requests again.
-    pub fn is_resting(&self) -> bool {
-        self.rest.is_some()
+    /// It requested a backoff, and it is not known yet whether it accepts requests again.
+    pub fn is_backing_off(&self) -> bool {
+        self.backoff.is_some()
     }
 
     /// A request may be sent now.
-    pub fn is_open(&self, now: Duration) -> bool {
-        self.open_at().is_some_and(|at| at <= now)
+    pub fn may_send(&self, now: Duration) -> bool {
+        self.next_send_at().is_some_and(|at| at <= now)
     }
 
-    /// A request is sent, or will be in a moment.
-    pub fn sent(&mut self, now: Duration) {
-        if let Some(gate) = &mut self.gate {
-            gate.due = now + gate.gap.unwrap_or_default();
+    /// A request is being sent, or is about to be.
+    pub fn on_sent(&mut self, now: Duration) {
+        if let Some(schedule) = &mut self.schedule {
+            schedule.next_at = now + schedule.interval.unwrap_or_default();
         }
-        if let Some(rest) = &mut self.rest {
-            rest.tried(now);
+        if let Some(backoff) = &mut self.backoff {
+            backoff.on_probe(now);
         }
     }
 
-    /// Tells whether anything changed between two moments of when requests may be sent.
-    pub fn mark(&self) -> u64 {
-        self.mark
+    /// Number of changes of when requests may be sent: it differs between two moments if there was
+    /// one.
+    pub fn changes(&self) -> u64 {
+        self.changes
     }
 
-    /// The limit that is known.
+    /// The known limit.
     pub fn limit(&self) -> Limit {
         self.limit
     }
 
-    /// Time between two requests of this gateway while there is a limit; none where others send.
-    pub fn gap(&self) -> Option<Duration> {
-        self.gate.and_then(|g| g.gap)
+    /// Interval between two requests of this gateway while there is a limit; `None` if only others
+    /// send.
+    pub fn interval(&self) -> Option<Duration> {
+        self.schedule.and_then(|s| s.interval)
     }
 
-    /// Whether others know of the limit what is known here, where they know it up to `turn`.
-    pub fn is_told(&self, turn: Turn) -> bool {
-        self.limit.turn <= turn
+    /// Whether others that know the limit up to `version` know what is known here.
+    pub fn is_known_at(&self, version: LimitVersion) -> bool {
+        self.limit.version <= version
     }
 }
--- a/crates/backpressure/src/wire.rs
+++ b/crates/backpressure/src/wire.rs
@@ -1,57 +1,57 @@
 //! Conversions between limits and the schema's types.
 
-use crate::limit::{Limit, Limited};
+use crate::limit::{Limit, ServerLimit};
 use bn_wire::messages::{self as wire, ServerStart};
 use snafu::{OptionExt, Snafu, ensure};
 
-/// A limit of the schema that is none.
+/// An invalid limit in a message.
 #[derive(Debug, Clone, Copy, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
-pub enum BadLimit {
-    /// It does not say of which start.
-    #[snafu(display("it names no backend server"))]
-    Nobody,
-    /// No number of requests.
+pub enum InvalidLimit {
+    /// The start of the backend server is missing.
+    #[snafu(display("limit names no backend server"))]
+    MissingStart,
+    /// The rate is negative or not finite.
     #[snafu(display("{rate} requests a second"))]
     Rate {
-        /// What stood there.
+        /// The received rate.
         rate: f64,
     },
 }
 
-impl From<Limited> for wire::LimitHeard {
-    fn from(heard: Limited) -> wire::LimitHeard {
+impl From<ServerLimit> for wire::LimitHeard {
+    fn from(limited: ServerLimit) -> wire::LimitHeard {
         let start = ServerStart {
-            id: heard.id,
-            began: heard.began,
+            id: limited.id,
+            began: limited.began,
         };
         wire::LimitHeard {
             start: Some(start),
-            rate: heard.limit.rate,
-            turn: heard.limit.turn,
+            rate: limited.limit.rate,
+            turn: limited.limit.version,
         }
     }
 }
 
-impl TryFrom<wire::LimitHeard> for Limited {
-    type Error = BadLimit;
+impl TryFrom<wire::LimitHeard> for ServerLimit {
+    type Error = InvalidLimit;
 
-    fn try_from(raw: wire::LimitHeard) -> Result<Limited, BadLimit> {
-        let start = raw.start.context(NobodySnafu)?;
-        Ok(Limited {
+    fn try_from(raw: wire::LimitHeard) -> Result<ServerLimit, InvalidLimit> {
+        let start = raw.start.context(MissingStartSnafu)?;
+        Ok(ServerLimit {
             id: start.id,
             began: start.began,
-            limit: Limit::read(raw.rate, raw.turn)?,
+            limit: Limit::from_wire(raw.rate, raw.turn)?,
         })
     }
 }
 
 impl Limit {
-    /// A limit as messages hold it.
-    pub fn read(rate: Option<f64>, turn: u64) -> Result<Limit, BadLimit> {
+    /// A limit from the fields of a message.
+    pub fn from_wire(rate: Option<f64>, version: u64) -> Result<Limit, InvalidLimit> {
         if let Some(rate) = rate {
             ensure!(rate.is_finite() && rate >= 0.0, RateSnafu { rate });
         }
-        Ok(Limit { rate, turn })
+        Ok(Limit { rate, version })
     }
 }
--- a/crates/backpressure/tests/world/mod.rs
+++ b/crates/backpressure/tests/world/mod.rs
@@ -1,50 +1,54 @@
-//! Gateways, coordinators and one backend server as plain values on a manual clock.
+//! A simulation of gateways, coordinators and one backend server on a manual clock.
 
-use bn_backpressure::{Answer, Asked, Limit, Share, Terms};
+use bn_backpressure::{Backpressure, Directives, Feedback, GatewaySet, Limit};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time after the first word from which the users' bound holds, and the span over which it does.
+/// The users' bound holds from this time after the first named limit on, over any such span.
 pub(crate) const KNOWN_WITHIN: Duration = Duration::from_secs(3);
 pub(crate) const SPAN: Duration = Duration::from_secs(4);
-/// A gateway that passed the word on so long ago counts among those that were told.
-const TOLD_FOR: Duration = Duration::from_millis(500);
+/// A gateway counts as informed from this long after it first received a response with a limit.
+const INFORMED_AFTER: Duration = Duration::from_millis(500);
 const STEP: Duration = Duration::from_millis(20);
-/// Between two asks of coordinators, and after how much silence a gateway leaves the list.
-const ASK: Duration = Duration::from_millis(270);
-const SILENCE: Duration = Duration::from_millis(1_700);
-/// Longest time from a choice to the request's arrival, and from there to the head of its answer.
-const LONGEST_WAY: u64 = 300;
-const LONGEST_ANSWER: u64 = 1_500;
+/// Interval between two polls of the coordinators, and time without contact after which a gateway
+/// is removed from the list.
+const POLL_INTERVAL: Duration = Duration::from_millis(270);
+const CONTACT_TIMEOUT: Duration = Duration::from_millis(1_700);
+/// Longest time from the choice to the request's arrival, and from there to its response head.
+const MAX_TRANSIT_MS: u64 = 300;
+const MAX_RESPONSE_MS: u64 = 1_500;
 const ID: &str = "b";
 
 pub(crate) fn address(n: usize) -> SocketAddr {
     ([10, 0, (n / 250) as u8, (n % 250) as u8], 80).into()
 }
 
-pub(crate) fn answer(sent: Duration, limit: Option<f64>) -> Answer {
-    let asked = Asked {
+pub(crate) fn feedback(sent_at: Duration, limit: Option<f64>) -> Feedback {
+    let directives = Directives {
         limit,
-        ..Asked::default()
+        ..Directives::default()
     };
-    let own = true;
-    Answer { asked, sent, own }
+    Feedback {
+        directives,
+        sent_at,
+        authentic: true,
+    }
 }
 
 struct Gateway {
-    terms: Terms,
-    share: Share,
-    due: Duration,
-    /// It passed on an answer with a limit first then.
-    told: Option<Duration>,
-    /// It is cut off from coordinators, or does not run, until then.
-    away: Duration,
-    /// What it sends does not count until then.
-    excused: Duration,
-    heard: Duration,
+    state: Backpressure,
+    set: GatewaySet,
+    next_poll: Duration,
+    /// When it first received a response with a limit.
+    informed_at: Option<Duration>,
+    /// It is cut off from the coordinators, or not running, until then.
+    absent_until: Duration,
+    /// Its requests are not counted until then.
+    uncounted_until: Duration,
+    last_contact: Duration,
 }
 
 struct Arrival {
@@ -56,13 +60,13 @@
     rng: SmallRng,
     now: Duration,
     gateways: Vec<Gateway>,
-    /// What coordinators know.
+    /// The limit that the coordinators know.
     limit: Limit,
-    named: Option<f64>,
-    first: Option<Duration>,
-    /// Requests on their way: arrival, gateway, when it was sent.
-    coming: Vec<(Duration, usize, Duration)>,
-    answers: Vec<(Duration, usize, Answer)>,
+    named_limit: Option<f64>,
+    first_named_at: Option<Duration>,
+    /// Requests in transit: arrival, gateway, when it was sent.
+    in_transit: Vec<(Duration, usize, Duration)>,
+    responses: Vec<(Duration, usize, Feedback)>,
     arrivals: VecDeque<Arrival>,
 }
 
@@ -70,16 +74,16 @@
     pub(crate) fn new(seed: u64, count: usize) -> World {
         let mut rng = SmallRng::seed_from_u64(seed);
         let gateways = (0..count).map(|n| Gateway {
-            terms: Terms::default(),
-            share: Share {
+            state: Backpressure::default(),
+            set: GatewaySet {
                 own: Some(address(n)),
                 gateways: (0..count).map(address).collect(),
             },
-            due: rng.random_range(Duration::ZERO..ASK),
-            told: None,
-            away: Duration::ZERO,
-            excused: Duration::ZERO,
-            heard: Duration::ZERO,
+            next_poll: rng.random_range(Duration::ZERO..POLL_INTERVAL),
+            informed_at: None,
+            absent_until: Duration::ZERO,
+            uncounted_until: Duration::ZERO,
+            last_contact: Duration::ZERO,
         });
         let gateways = gateways.collect();
         World {
@@ -87,31 +91,31 @@
             now: Duration::from_secs(1),
             gateways,
             limit: Limit::default(),
-            named: None,
-            first: None,
-            coming: Vec::new(),
-            answers: Vec::new(),
+            named_limit: None,
+            first_named_at: None,
+            in_transit: Vec::new(),
+            responses: Vec::new(),
             arrivals: VecDeque::new(),
         }
     }
 
-    /// The backend server names this from now on.
-    pub(crate) fn name(&mut self, limit: Option<f64>) {
-        self.named = limit;
+    /// The backend server names this limit from now on.
+    pub(crate) fn set_limit(&mut self, limit: Option<f64>) {
+        self.named_limit = limit;
     }
 
     /// A gateway restarts, or is cut off from the coordinators.
     pub(crate) fn disturb(&mut self) {
         let n = self.rng.random_range(0..self.gateways.len());
-        let away = Duration::from_millis(self.rng.random_range(200..6_000));
+        let absence = Duration::from_millis(self.rng.random_range(200..6_000));
         let restarts = self.rng.random_bool(0.5);
         let gateway = &mut self.gateways[n];
-        gateway.away = self.now + away;
-        gateway.excused = gateway.away + KNOWN_WITHIN;
+        gateway.absent_until = self.now + absence;
+        gateway.uncounted_until = gateway.absent_until + KNOWN_WITHIN;
         if restarts {
-            gateway.terms = Terms::default();
-            gateway.share.gateways.clear();
-            gateway.told = None;
+            gateway.state = Backpressure::default();
+            gateway.set.gateways.clear();
+            gateway.informed_at = None;
         }
     }
 
@@ -119,117 +123,127 @@
         let until = self.now + time;
         while self.now < until {
             self.now += STEP;
-            self.exchange();
-            self.send();
-            self.arrive();
-            self.answer();
+            self.poll_coordinators();
+            self.send_requests();
+            self.deliver_requests();
+            self.deliver_responses();
         }
     }
 
-    fn exchange(&mut self) {
+    fn poll_coordinators(&mut self) {
         let now = self.now;
-        let listed = |g: &Gateway| now < g.heard + SILENCE;
-        let met = now > Duration::from_secs(1) + SILENCE;
+        let listed = |g: &Gateway| now < g.last_contact + CONTACT_TIMEOUT;
+        let list_valid = now > Duration::from_secs(1) + CONTACT_TIMEOUT;
         let list: Vec<SocketAddr> = self
             .gateways
             .iter()
             .enumerate()
-            .filter(|(_, g)| !met || listed(g))
+            .filter(|(_, g)| !list_valid || listed(g))
             .map(|(n, _)| address(n))
             .collect();
         let id = ID.to_string();
         for gateway in &mut self.gateways {
-            if now < gateway.due || now < gateway.away {
+            if now < gateway.next_poll || now < gateway.absent_until {
                 continue;
             }
-            gateway.due = now + ASK;
-            gateway.heard = now;
-            // Words reach the coordinators at one ask, and come back with the next.
+            gateway.next_poll = now + POLL_INTERVAL;
+            gateway.last_contact = now;
+            // A limit reaches the coordinators with one poll, and is returned with the next.
             let draw = self.rng.random();
             let known = self.limit;
-            self.limit = self.limit.or(gateway.terms.limit());
-            gateway.terms.learn(now, &id, known, &gateway.share, draw);
-            if gateway.share.gateways != list {
-                gateway.share.gateways.clone_from(&list);
-                gateway.terms.reshare(now, &id, &gateway.share, draw);
+            self.limit = self.limit.merge(gateway.state.limit());
+            gateway
+                .state
+                .merge_limit(now, &id, known, &gateway.set, draw);
+            if gateway.set.gateways != list {
+                gateway.set.gateways.clone_from(&list);
+                gateway.state.reschedule(now, &id, &gateway.set, draw);
             }
         }
     }
 
-    /// Each gateway would always send: the limited backend server looks idle.
-    fn send(&mut self) {
+    /// Each gateway always has a request to send: the limited backend server looks idle.
+    fn send_requests(&mut self) {
         for (n, gateway) in self.gateways.iter_mut().enumerate() {
-            // Before the word some ten a second are enough.
-            let wants = gateway.terms.limit().rate.is_some() || self.rng.random_bool(0.05);
-            if !wants || !gateway.terms.is_open(self.now) {
+            // Until a limit is known, some ten requests per second are enough.
+            let wants = gateway.state.limit().rate.is_some() || self.rng.random_bool(0.05);
+            if !wants || !gateway.state.may_send(self.now) {
                 continue;
             }
-            gateway.terms.sent(self.now);
-            let way = Duration::from_millis(self.rng.random_range(1..LONGEST_WAY));
-            self.coming.push((self.now + way, n, self.now + way));
+            gateway.state.on_sent(self.now);
+            let transit = Duration::from_millis(self.rng.random_range(1..MAX_TRANSIT_MS));
+            self.in_transit
+                .push((self.now + transit, n, self.now + transit));
         }
     }
 
-    fn arrive(&mut self) {
+    fn deliver_requests(&mut self) {
         let now = self.now;
-        let here: Vec<_> = self.coming.extract_if(.., |c| c.0 <= now).collect();
-        for (at, n, sent) in here {
-            if self.named.is_some() {
-                self.first.get_or_insert(at);
+        let arrived: Vec<_> = self.in_transit.extract_if(.., |r| r.0 <= now).collect();
+        for (at, n, sent_at) in arrived {
+            if self.named_limit.is_some() {
+                self.first_named_at.get_or_insert(at);
             }
             let gateway = &self.gateways[n];
-            let told = gateway.told.is_some_and(|told| at >= told + TOLD_FOR);
-            let counts = told && at >= gateway.excused;
+            let informed = gateway.informed_at;
+            let informed = informed.is_some_and(|t| at >= t + INFORMED_AFTER);
+            let counts = informed && at >= gateway.uncounted_until;
             self.arrivals.push_back(Arrival { at, counts });
-            let after = Duration::from_millis(self.rng.random_range(1..LONGEST_ANSWER));
-            self.answers.push((at + after, n, answer(sent, self.named)));
+            let after = Duration::from_millis(self.rng.random_range(1..MAX_RESPONSE_MS));
+            self.responses
+                .push((at + after, n, feedback(sent_at, self.named_limit)));
         }
     }
 
-    fn answer(&mut self) {
+    fn deliver_responses(&mut self) {
         let now = self.now;
-        let here: Vec<_> = self.answers.extract_if(.., |a| a.0 <= now).collect();
+        let arrived: Vec<_> = self.responses.extract_if(.., |r| r.0 <= now).collect();
         let id = ID.to_string();
-        for (at, n, answer) in here {
+        for (at, n, feedback) in arrived {
             // One in twenty is lost.
             if self.rng.random_bool(0.05) {
                 continue;
             }
             let draw = self.rng.random();
             let gateway = &mut self.gateways[n];
-            if answer.asked.limit.is_some() {
-                gateway.told.get_or_insert(at);
+            if feedback.directives.limit.is_some() {
+                gateway.informed_at.get_or_insert(at);
             }
-            gateway.terms.heard(now, &id, &answer, &gateway.share, draw);
+            gateway
+                .state
+                .on_response(now, &id, &feedback, &gateway.set, draw);
         }
     }
 
-    /// Most requests of gateways that were told within any span, from so long after the first word on.
-    pub(crate) fn most_within(&self, span: Duration, after: Duration) -> usize {
-        let Some(first) = self.first else { return 0 };
+    /// Maximum number of requests of informed gateways within any `span`, counted from `after` the
+    /// first limit on.
+    pub(crate) fn max_within(&self, span: Duration, after: Duration) -> usize {
+        let Some(first) = self.first_named_at else {
+            return 0;
+        };
         let counted = self.arrivals.iter().filter(|a| a.counts);
         let mut times: Vec<Duration> = counted
             .map(|a| a.at)
             .filter(|t| *t >= first + after)
             .collect();
         times.sort_unstable();
-        let mut most = 0;
+        let mut max = 0;
         let mut from = 0;
         for (n, time) in times.iter().enumerate() {
             while times[from] + span <= *time {
                 from += 1;
             }
-            most = most.max(n + 1 - from);
+            max = max.max(n + 1 - from);
         }
-        most
+        max
     }
 
     pub(crate) fn arrived(&self) -> usize {
         self.arrivals.len()
     }
 
-    /// The limit as each gateway knows it.
-    pub(crate) fn known(&self) -> Vec<Option<f64>> {
-        self.gateways.iter().map(|g| g.terms.limit().rate).collect()
+    /// The limit that each gateway knows.
+    pub(crate) fn known_limits(&self) -> Vec<Option<f64>> {
+        self.gateways.iter().map(|g| g.state.limit().rate).collect()
     }
 }
--- a/crates/coordinator/src/announcements.rs
+++ b/crates/coordinator/src/announcements.rs
@@ -2,7 +2,7 @@
 
 use crate::core::{Core, answered};
 use crate::tell::Told;
-use bn_backpressure::Limited;
+use bn_backpressure::ServerLimit;
 use bn_registry::{Change, Record};
 use bn_wire::messages as wire;
 use indexmap::IndexSet;
@@ -120,19 +120,19 @@
     /// A gateway heard of limits. One of a start that is not known is told again until it is.
     pub(crate) fn on_limits(&mut self, now: Duration, inbox: SocketAddr, heard: wire::LimitsHeard) {
         for raw in heard.limits {
-            match Limited::try_from(raw) {
+            match ServerLimit::try_from(raw) {
                 Ok(heard) => self.on_limit(now, &heard),
                 Err(e) => log::warn!("a limit from {inbox}: {e}"),
             }
         }
     }
 
-    fn on_limit(&mut self, now: Duration, heard: &Limited) {
+    fn on_limit(&mut self, now: Duration, heard: &ServerLimit) {
         let known = self.registry.get(&heard.id);
         let Some(known) = known.filter(|r| r.began == heard.began) else {
             return;
         };
-        let limit = known.limit.or(heard.limit);
+        let limit = known.limit.merge(heard.limit);
         if limit == known.limit {
             return;
         }
@@ -151,7 +151,7 @@
         let rows = limited.map(|(r, rate)| {
             json!({
                 "id": r.id, "began": r.began, "service": r.service, "limit": rate,
-                "turn": r.limit.turn,
+                "turn": r.limit.version,
             })
         });
         json!({ "backend_servers": rows.collect::<Vec<_>>() }).to_string()
@@ -179,6 +179,6 @@
         "id": record.id, "service": record.service, "address": record.address,
         "condition": format!("{:?}", record.condition), "sequence": record.sequence,
         "began": record.began, "group": record.group, "pace": record.pace, "source": source.name(),
-        "limit": record.limit.rate, "turn": record.limit.turn,
+        "limit": record.limit.rate, "turn": record.limit.version,
     })
 }
--- a/crates/gateway/src/asked.rs
+++ b/crates/gateway/src/asked.rs
@@ -2,7 +2,7 @@
 
 use crate::shared::Shared;
 use crate::ticket::{Ticket, text};
-use bn_backpressure::{Answer, Asked};
+use bn_backpressure::{Directives, Feedback};
 use bn_platform::{asked as format, header};
 use bn_registry::Record;
 use bn_route::Server;
@@ -26,10 +26,10 @@
         return;
     }
     let marked = [header::SIGNATURE, header::NOT_RUN].map(|h| headers.contains_key(h));
-    let answer = Answer {
-        asked: read(status, headers),
-        sent,
-        own: marked.contains(&true) && text(headers, header::ATTEMPT) == Some(&ticket.id),
+    let feedback = Feedback {
+        directives: read(status, headers),
+        sent_at: sent,
+        authentic: marked.contains(&true) && text(headers, header::ATTEMPT) == Some(&ticket.id),
     };
     let now = shared.now();
     let (news, limit, gap) = {
@@ -37,23 +37,23 @@
         let draw = rand::random();
         let news = state
             .fleet
-            .asked(now, &server.id, server.began, &answer, draw);
+            .asked(now, &server.id, server.began, &feedback, draw);
         let terms = state.fleet.get(&server.id).map(|s| &s.terms);
         let limit = terms.map(|t| t.limit()).unwrap_or_default();
-        (news, limit, terms.and_then(|t| t.gap()))
+        (news, limit, terms.and_then(|t| t.interval()))
     };
     let Some(before) = news else {
         return;
     };
-    let asked = answer.asked;
+    let asked = feedback.directives;
     metrics::counter!("backend_servers_asked_total").increment(1);
     shared.lines.put(
         "backend_server_asked",
         json!({
             "id": server.id, "began": server.began, "request": ticket.id, "status": status,
-            "limit": asked.limit, "rest_ms": asked.rest.map(millis), "leaving": asked.leaving,
-            "unread": asked.unread, "own": answer.own, "held_limit": limit.rate,
-            "turn": limit.turn, "gap_ms": gap.map(millis), "before_ms": millis(before),
+            "limit": asked.limit, "rest_ms": asked.backoff.map(millis), "leaving": asked.leaving,
+            "unread": asked.malformed, "own": feedback.authentic, "held_limit": limit.rate,
+            "turn": limit.version, "gap_ms": gap.map(millis), "before_ms": millis(before),
         }),
     );
 }
@@ -64,31 +64,31 @@
     let (news, gap) = {
         let fleet = &mut shared.state().fleet;
         let news = fleet.learn_limit(now, &record.id, record.limit, rand::random());
-        (news, fleet.get(&record.id).and_then(|s| s.terms.gap()))
+        (news, fleet.get(&record.id).and_then(|s| s.terms.interval()))
     };
     if news {
         shared.lines.put(
             "backend_server_limit",
             json!({
                 "id": record.id, "began": record.began, "limit": record.limit.rate,
-                "turn": record.limit.turn, "gap_ms": gap.map(millis), "source": source,
+                "turn": record.limit.version, "gap_ms": gap.map(millis), "source": source,
             }),
         );
     }
 }
 
 /// A header that comes twice counts as what asks for more.
-fn read(status: u16, headers: &HeaderMap) -> Asked {
+fn read(status: u16, headers: &HeaderMap) -> Directives {
     let limits = values(headers, header::LIMIT, format::limit);
     let rests = match status {
         503 => values(headers, header::RETRY_AFTER, format::rest),
         _ => Vec::new(),
     };
     let leaving = values(headers, header::LEAVING, format::leaving);
-    Asked {
-        unread: limits.contains(&None) || rests.contains(&None) || leaving.contains(&None),
+    Directives {
+        malformed: limits.contains(&None) || rests.contains(&None) || leaving.contains(&None),
         limit: limits.into_iter().flatten().reduce(f64::min),
-        rest: rests.into_iter().flatten().max(),
+        backoff: rests.into_iter().flatten().max(),
         leaving: leaving.contains(&Some(true)),
     }
 }
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -7,7 +7,7 @@
 use crate::shared::Shared;
 use crate::sources::{Sources, Telling};
 use crate::suspects::Report;
-use bn_backpressure::Share;
+use bn_backpressure::GatewaySet;
 use bn_directory::{Named, NamedGateway};
 use bn_net::{Net, Usage};
 use bn_quarantine::{Digest, Told};
@@ -277,7 +277,7 @@
                 let named = Named::new(named);
                 let fields = json!({ "gateways": named.gateways().len(), "mark": named.mark() });
                 self.shared.lines.put("gateways_named", fields);
-                let share = Share {
+                let share = GatewaySet {
                     own: Some(self.callers),
                     gateways: named.gateways().iter().map(|g| g.callers).collect(),
                 };
@@ -328,7 +328,7 @@
             "id": record.id, "service": record.service, "address": record.address,
             "condition": format!("{:?}", record.condition), "sequence": record.sequence,
             "began": record.began, "group": record.group, "pace": record.pace,
-            "limit": record.limit.rate, "turn": record.limit.turn,
+            "limit": record.limit.rate, "turn": record.limit.version,
         });
         self.shared.lines.put("backend_server", fields);
         self.registered.insert(record.id.clone(), record);
--- a/crates/node/src/agent/engine.rs
+++ b/crates/node/src/agent/engine.rs
@@ -3,7 +3,7 @@
 use super::Event;
 use crate::clock::Clock;
 use crate::http_client;
-use bn_backpressure::{Answer, Asked};
+use bn_backpressure::{Directives, Feedback};
 use bn_claim::RunKey;
 use bn_net::Net;
 use bn_wire::messages::envelope::Body;
@@ -107,16 +107,19 @@
 
     /// The agent learns whether the backend server wants more, before its caller gets a byte.
     fn tell_answer(&self, sent: Duration, head: &http::response::Parts) {
-        let rest = match head.status {
+        let backoff = match head.status {
             http::StatusCode::SERVICE_UNAVAILABLE => retry_after(&head.headers),
             _ => None,
         };
-        let asked = Asked {
-            rest,
-            ..Asked::default()
+        let directives = Directives {
+            backoff,
+            ..Directives::default()
         };
-        let own = true;
-        self.tell(Event::Answered(Answer { asked, sent, own }));
+        self.tell(Event::Answered(Feedback {
+            directives,
+            sent_at: sent,
+            authentic: true,
+        }));
     }
 
     fn stream(&self, sent: Duration, response: http::Response<ureq::Body>) -> End {
--- a/crates/node/src/agent/mod.rs
+++ b/crates/node/src/agent/mod.rs
@@ -11,7 +11,7 @@
 use crate::Result;
 use crate::run::Common;
 use announce::Announcement;
-use bn_backpressure::{Answer, Share, Terms};
+use bn_backpressure::{Backpressure, Feedback, GatewaySet};
 use bn_claim::{FULL, Gate, RunKey};
 use bn_conf::Agent as Conf;
 use bn_group::{Order, OrderKind, Rank};
@@ -39,7 +39,7 @@
     /// A message of an entry.
     Message(Box<Envelope>),
     /// The head of an answer of the backend server.
-    Answered(Answer),
+    Answered(Feedback),
     /// A request ended.
     Ended(RunKey),
     /// Begin a graceful stop.
@@ -69,7 +69,7 @@
     announced: Duration,
     gate: Gate,
     /// What the backend server asks of its senders: of this agent, which is the only one.
-    terms: Terms,
+    terms: Backpressure,
     /// Whether it took requests when entries were told last.
     told_open: bool,
     /// The engine's place in its group.
@@ -103,7 +103,7 @@
             backend: None,
             announced: Duration::ZERO,
             gate: Gate::default(),
-            terms: Terms::default(),
+            terms: Backpressure::default(),
             told_open: true,
             rank: Rank::new(common.net.incarnation()),
             orders: orders::start(common.events.clone()),
@@ -165,20 +165,20 @@
         }
     }
 
-    fn on_answer(&mut self, answer: &Answer) {
+    fn on_answer(&mut self, feedback: &Feedback) {
         let now = self.now();
         let name = self.backend.as_ref().map(|b| b.name.clone());
         let draw = rand::random();
         let terms = &mut self.terms;
-        let changed = terms.heard(
+        let changed = terms.on_response(
             now,
             &name.unwrap_or_default(),
-            answer,
-            &Share::default(),
+            feedback,
+            &GatewaySet::default(),
             draw,
         );
         if changed.is_some() {
-            let rest = answer.asked.rest.unwrap_or_default();
+            let rest = feedback.directives.backoff.unwrap_or_default();
             let detail = format!("the backend server wants {} ms of rest", rest.as_millis());
             self.common.events.note("rest", detail);
         }
@@ -186,7 +186,7 @@
 
     /// The backend server takes a request now, as far as it said.
     fn takes(&self, now: Duration) -> bool {
-        self.terms.is_open(now)
+        self.terms.may_send(now)
     }
 
     fn on_announcement(&mut self, announcement: Announcement) {
@@ -197,7 +197,7 @@
             .is_none_or(|b| b.address != announcement.address);
         if first {
             // Another one, which asked for nothing yet.
-            self.terms = Terms::default();
+            self.terms = Backpressure::default();
             let detail = format!("{} at {}", announcement.name, announcement.address);
             self.common.events.note("announced", detail);
         }
@@ -248,7 +248,7 @@
         let refusal = match backend {
             None => Some("the backend server is not there"),
             Some(_) if !fresh => Some("meant for an earlier start of this agent"),
-            Some(_) if !self.terms.is_open(now) => Some("the backend server wants rest"),
+            Some(_) if !self.terms.may_send(now) => Some("the backend server wants rest"),
             Some(_) => {
                 let not_after = Duration::from_millis(dispatch.not_after_ms);
                 self.gate.refusal(now, key, not_after, self.running.len())
@@ -259,7 +259,7 @@
             return self.turn_away(inbox, dispatch.attempt, reason);
         }
         let Some(backend) = backend else { return };
-        self.terms.sent(now);
+        self.terms.on_sent(now);
         let flag = Arc::new(AtomicBool::new(false));
         self.running.insert(key, flag.clone());
         self.count
--- a/crates/registry/src/table.rs
+++ b/crates/registry/src/table.rs
@@ -101,7 +101,7 @@
         let newer = follows(held, self);
         let same_start = self.began == held.began;
         let retold = same_start && self.told > held.told;
-        let limit = held.limit.or(self.limit);
+        let limit = held.limit.merge(self.limit);
         let limited = same_start && limit != held.limit;
         if !newer && !retold && !limited {
             return None;
--- a/crates/registry/src/wire.rs
+++ b/crates/registry/src/wire.rs
@@ -29,7 +29,7 @@
             pace: r.pace,
             told: r.told,
             limit: r.limit.rate,
-            limit_turn: r.limit.turn,
+            limit_turn: r.limit.version,
         }
     }
 }
@@ -53,7 +53,7 @@
             group: r.group,
             pace: r.pace,
             told: r.told,
-            limit: Limit::read(r.limit, r.limit_turn)
+            limit: Limit::from_wire(r.limit, r.limit_turn)
                 .ok()
                 .context(IncompleteSnafu)?,
             service: r.service,
--- a/crates/route/src/asked.rs
+++ b/crates/route/src/asked.rs
@@ -3,7 +3,7 @@
 
 use crate::fleet::Fleet;
 use crate::server::{Began, Server};
-use bn_backpressure::{Answer, Limit, Limited, Share};
+use bn_backpressure::{Feedback, GatewaySet, Limit, ServerLimit};
 use std::time::Duration;
 
 /// Until coordinators tell of a limit themselves, they are told it again after this.
@@ -17,7 +17,7 @@
         now: Duration,
         id: &str,
         began: Began,
-        answer: &Answer,
+        feedback: &Feedback,
         draw: f64,
     ) -> Option<Duration> {
         let server = self.servers.get_mut(id);
@@ -25,7 +25,7 @@
         let before = server.terms.limit();
         let news = server
             .terms
-            .heard(now, &server.id, answer, &self.share, draw);
+            .on_response(now, &server.id, feedback, &self.share, draw);
         server.leaving |= server.terms.is_leaving();
         if server.terms.limit() != before {
             self.untold.insert(server.id.clone(), None);
@@ -40,8 +40,8 @@
         };
         let news = server
             .terms
-            .learn(now, &server.id, limit, &self.share, draw);
-        match server.terms.is_told(limit.turn) {
+            .merge_limit(now, &server.id, limit, &self.share, draw);
+        match server.terms.is_known_at(limit.version) {
             true => {
                 self.untold.swap_remove(id);
             }
@@ -54,10 +54,17 @@
     }
 
     /// Callers are sent to other gateways from now on.
-    pub fn follow_choice(&mut self, now: Duration, share: Share, mut draw: impl FnMut() -> f64) {
+    pub fn follow_choice(
+        &mut self,
+        now: Duration,
+        share: GatewaySet,
+        mut draw: impl FnMut() -> f64,
+    ) {
         self.share = share;
         for server in self.servers.values_mut() {
-            server.terms.reshare(now, &server.id, &self.share, draw());
+            server
+                .terms
+                .reschedule(now, &server.id, &self.share, draw());
         }
     }
 
@@ -68,18 +75,18 @@
         let Some(server) = server.filter(|s| s.began == picked.began && !s.leaving) else {
             return false;
         };
-        if server.terms.mark() == picked.terms.mark() {
+        if server.terms.changes() == picked.terms.changes() {
             return true;
         }
-        let open = server.terms.is_open(now);
+        let open = server.terms.may_send(now);
         if open {
-            server.terms.sent(now);
+            server.terms.on_sent(now);
         }
         open
     }
 
     /// Limits that coordinators are to be told now.
-    pub fn limits_to_tell(&mut self, now: Duration) -> Vec<Limited> {
+    pub fn limits_to_tell(&mut self, now: Duration) -> Vec<ServerLimit> {
         let mut limits = Vec::new();
         for (id, told) in &mut self.untold {
             if told.is_some_and(|at| now < at + TELL_AGAIN) {
@@ -89,7 +96,7 @@
                 continue;
             };
             *told = Some(now);
-            limits.push(Limited {
+            limits.push(ServerLimit {
                 id: id.clone(),
                 began: server.began,
                 limit: server.terms.limit(),
@@ -101,20 +108,22 @@
     /// How many backend servers take no request of this gateway now, as they asked.
     pub fn held(&self, now: Duration) -> usize {
         let servers = self.servers.values();
-        let held = |s: &&Server| s.terms.is_leaving() || !s.terms.is_open(now);
+        let held = |s: &&Server| s.terms.is_leaving() || !s.terms.may_send(now);
         servers.filter(held).count()
     }
 
     /// Whether all of a service take no request of this gateway now, as they asked.
     pub fn is_held(&self, now: Duration, service: &str) -> bool {
         let mut taking = self.taking(service).peekable();
-        taking.peek().is_some() && taking.all(|s| !s.terms.is_open(now))
+        taking.peek().is_some() && taking.all(|s| !s.terms.may_send(now))
     }
 
     /// When the first backend server of a service may be sent a request; none where others send to all
     /// of them.
     pub fn open_at(&self, service: &str) -> Option<Duration> {
-        self.taking(service).filter_map(|s| s.terms.open_at()).min()
+        self.taking(service)
+            .filter_map(|s| s.terms.next_send_at())
+            .min()
     }
 
     fn taking(&self, service: &str) -> impl Iterator<Item = &Server> {
--- a/crates/route/src/fleet.rs
+++ b/crates/route/src/fleet.rs
@@ -2,7 +2,7 @@
 //! request goes to.
 
 use crate::server::{Began, Server, ServerId, Told, Unit, quick_enough};
-use bn_backpressure::Share;
+use bn_backpressure::GatewaySet;
 use indexmap::{IndexMap, IndexSet};
 use std::time::Duration;
 
@@ -78,7 +78,7 @@
     /// Other gateways that send requests to the same backend servers.
     pub peers: u32,
     /// What decides of this gateway's part of limits.
-    pub(crate) share: Share,
+    pub(crate) share: GatewaySet,
     /// Backend servers whose limit coordinators may not know, and when they were told it last.
     pub(crate) untold: IndexMap<ServerId, Option<Duration>>,
 }
@@ -92,7 +92,7 @@
             heard: IndexMap::new(),
             still: IndexMap::new(),
             peers: 0,
-            share: Share::default(),
+            share: GatewaySet::default(),
             untold: IndexMap::new(),
         }
     }
@@ -146,8 +146,8 @@
         }
         // One that takes few requests, or turns them away at once, has the least load of all, and would be
         // chosen for each: only its word keeps them away.
-        let open_at = open.iter().filter_map(|s| s.terms.open_at()).min();
-        let open: Vec<&Server> = open.into_iter().filter(|s| s.terms.is_open(now)).collect();
+        let open_at = open.iter().filter_map(|s| s.terms.next_send_at()).min();
+        let open: Vec<&Server> = open.into_iter().filter(|s| s.terms.may_send(now)).collect();
         if open.is_empty() {
             return Err(Lack::Held(open_at));
         }
@@ -257,7 +257,7 @@
     pub fn sent(&mut self, now: Duration, id: &str) {
         if let Some(server) = self.servers.get_mut(id) {
             server.mine += 1;
-            server.terms.sent(now);
+            server.terms.on_sent(now);
             if let Some(still) = self.still.get_mut(&server.unit) {
                 still.probe = now + STILL_PROBE;
             }
@@ -352,7 +352,7 @@
 /// Without those that may turn a request away, where there are others: whether one that had asked for
 /// rest takes more is found out by requests that may still go elsewhere.
 fn surer(open: Vec<&Server>) -> Vec<&Server> {
-    let sure = |s: &&Server| !s.terms.is_resting();
+    let sure = |s: &&Server| !s.terms.is_backing_off();
     match open.iter().any(sure) {
         true => open.into_iter().filter(sure).collect(),
         false => open,
--- a/crates/route/src/server.rs
+++ b/crates/route/src/server.rs
@@ -1,7 +1,7 @@
 //! One backend server as a gateway sees it: where it is, how it fares, what load it has.
 
 use crate::standing::Standing;
-use bn_backpressure::Terms;
+use bn_backpressure::Backpressure;
 use indexmap::IndexMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -58,7 +58,7 @@
     /// Time that it takes for the same work, against a sound one.
     pub pace: f64,
     /// What it asks of those that send it requests.
-    pub terms: Terms,
+    pub terms: Backpressure,
     /// How requests fared there.
     pub standing: Standing,
     /// Requests of this gateway that are there now.
@@ -83,7 +83,7 @@
             slots,
             leaving: false,
             pace: 1.0,
-            terms: Terms::default(),
+            terms: Backpressure::default(),
             standing: Standing::default(),
             mine: 0,
             others: 0.0,
--- a/crates/route/tests/asked.rs
+++ b/crates/route/tests/asked.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
-use bn_backpressure::{Answer, Asked, Limit, Share};
+use bn_backpressure::{Directives, Feedback, GatewaySet, Limit};
 use bn_route::{Fleet, Lack, Server, Want};
 use googletest::prelude::*;
 use std::time::Duration;
@@ -16,7 +16,7 @@
         fleet.put(Server::new(&format!("b{n}"), "s", address, "d0", 4));
     }
     let own = ([10, 1, 0, 1], 80).into();
-    let share = Share {
+    let share = GatewaySet {
         own: Some(own),
         gateways: vec![own],
     };
@@ -34,19 +34,19 @@
     fleet.pick(now, &want, || 0.0).map(|s| s.id.clone())
 }
 
-fn ask(fleet: &mut Fleet, now: Duration, id: &str, asked: Asked) -> Option<Duration> {
-    let answer = Answer {
-        asked,
-        sent: now,
-        own: true,
+fn ask(fleet: &mut Fleet, now: Duration, id: &str, asked: Directives) -> Option<Duration> {
+    let feedback = Feedback {
+        directives: asked,
+        sent_at: now,
+        authentic: true,
     };
-    fleet.asked(now, id, 0, &answer, 0.0)
+    fleet.asked(now, id, 0, &feedback, 0.0)
 }
 
-fn limit(rate: f64) -> Asked {
-    Asked {
+fn limit(rate: f64) -> Directives {
+    Directives {
         limit: Some(rate),
-        ..Asked::default()
+        ..Directives::default()
     }
 }
 
@@ -92,7 +92,7 @@
 fn where_only_other_gateways_send_no_time_is_known() {
     let mut fleet = fleet(1);
     ask(&mut fleet, NOW, "b0", limit(1.0));
-    let others = Share {
+    let others = GatewaySet {
         own: Some(([10, 1, 0, 1], 80).into()),
         gateways: vec![([10, 1, 0, 2], 80).into()],
     };
@@ -161,10 +161,10 @@
     expect_that!(known.rate, some(eq(1.0)));
 }
 
-fn rest(time: Duration) -> Asked {
-    Asked {
-        rest: Some(time),
-        ..Asked::default()
+fn rest(time: Duration) -> Directives {
+    Directives {
+        backoff: Some(time),
+        ..Directives::default()
     }
 }
 
@@ -213,14 +213,14 @@
 fn who_says_that_it_leaves_gets_nothing_more() {
     let mut fleet = fleet(2);
     let picked = fleet.get("b0").unwrap().clone();
-    let leaving = Asked {
+    let leaving = Directives {
         leaving: true,
-        ..Asked::default()
+        ..Directives::default()
     };
 
     ask(&mut fleet, NOW, "b0", leaving);
     // Its next answer does not say it, and neither does an announcement from before.
-    ask(&mut fleet, NOW, "b0", Asked::default());
+    ask(&mut fleet, NOW, "b0", Directives::default());
     fleet.put(Server::new("b0", "s", picked.address, "d0", 4));
     ask(&mut fleet, NOW, "b1", leaving);
 
@@ -232,9 +232,9 @@
 #[googletest::test]
 fn a_later_start_is_not_leaving() {
     let mut fleet = fleet(1);
-    let leaving = Asked {
+    let leaving = Directives {
         leaving: true,
-        ..Asked::default()
+        ..Directives::default()
     };
     ask(&mut fleet, NOW, "b0", leaving);
     let mut next = fleet.get("b0").unwrap().clone();
