--- a/crates/coordinator/src/cases.rs
+++ b/crates/coordinator/src/cases.rs
@@ -7,7 +7,7 @@
 
 use crate::core::Core;
 use bn_quarantine::{
-    Case, Digest, End, Standing, Start, Table, Told, Trials, read_digest, to_text,
+    Case, CaseStatus, CaseUpdate, Digest, Start, Table, Termination, Trials, read_digest, to_text,
 };
 use bn_quorum::Role;
 use bn_store::{Disk, Side};
@@ -37,7 +37,7 @@
     /// Ends that gateways were told of.
     ends: IndexMap<Start, Duration>,
     /// What the disk holds.
-    written: Vec<Told>,
+    written: Vec<CaseUpdate>,
     due: Duration,
     /// Change up to which gateways were told.
     pushed: u64,
@@ -86,12 +86,12 @@
 }
 
 /// The cases in the file's content; none where there is no file.
-fn decode(content: Option<Vec<u8>>) -> std::result::Result<Vec<Told>, String> {
+fn decode(content: Option<Vec<u8>>) -> std::result::Result<Vec<CaseUpdate>, String> {
     let Some(content) = content else {
         return Ok(Vec::new());
     };
     let held = wire::News::decode(&content[..]).map_err(|e| e.to_string())?;
-    let told = held.cases.into_iter().map(Told::try_from);
+    let told = held.cases.into_iter().map(CaseUpdate::try_from);
     told.collect::<std::result::Result<_, _>>()
         .map_err(|e| e.to_string())
 }
@@ -99,13 +99,13 @@
 /// Whether a gateway does anything else than without the case. A single end is held against a dozen
 /// requests, and says nothing yet.
 fn is_acted_on(case: &Case) -> bool {
-    case.standing() != Standing::Free || case.round > 0
+    case.status() != CaseStatus::Free || case.round > 0
 }
 
 impl Core {
     /// A gateway saw a backend server end.
     pub(crate) fn on_ended(&mut self, now: Duration, inbox: SocketAddr, raw: wire::Ended) {
-        let end = match End::try_from(raw) {
+        let end = match Termination::try_from(raw) {
             Ok(end) => end,
             Err(e) => return log::warn!("an end from {inbox}: {e}"),
         };
@@ -116,7 +116,11 @@
         );
         self.tell_end(now, &end.start);
         for (digest, alone) in &end.runs {
-            if self.cases.table.ended(now, *digest, &end.start, *alone) {
+            if self
+                .cases
+                .table
+                .add_termination(now, *digest, &end.start, *alone)
+            {
                 self.note_case(*digest, &inbox.to_string());
             }
         }
@@ -138,7 +142,7 @@
 
     /// Another coordinator's cases.
     pub(crate) fn take_cases(&mut self, now: Duration, inbox: SocketAddr, raw: Vec<wire::Case>) {
-        for told in raw.into_iter().map(Told::try_from) {
+        for told in raw.into_iter().map(CaseUpdate::try_from) {
             match told {
                 Ok(told) => {
                     if self.cases.table.merge(now, &told) {
@@ -159,7 +163,7 @@
             return;
         }
         let time = Duration::from_millis(ask.time_ms);
-        let refused = self.cases.table.standing(digest) == Standing::Refused;
+        let refused = self.cases.table.status(digest) == CaseStatus::Refused;
         let granted = !refused && self.cases.trials.grant(now, digest, time);
         self.lines.put(
             "trial_asked",
@@ -177,7 +181,7 @@
         let Ok(digest) = read_digest(&done.digest) else {
             return;
         };
-        self.cases.trials.done(now, digest, done.whole);
+        self.cases.trials.finish(now, digest, done.whole);
         if done.whole && self.cases.table.close(now, digest) {
             self.note_case(digest, &inbox.to_string());
         }
@@ -195,10 +199,10 @@
     /// What is refused, and what is suspected, for operators.
     pub(crate) fn show_cases(&self) -> String {
         let told = self.cases.table.since(0).into_iter();
-        let told = told.filter(|t| t.case.standing() != Standing::Free);
+        let told = told.filter(|t| t.case.status() != CaseStatus::Free);
         let rows = told.map(|t| {
-            let ends: Vec<&str> = t.case.ends.iter().map(|s| s.id.as_str()).collect();
-            let standing = format!("{:?}", t.case.standing());
+            let ends: Vec<&str> = t.case.terminations.iter().map(|s| s.id.as_str()).collect();
+            let standing = format!("{:?}", t.case.status());
             json!({ "digest": to_text(t.digest), "standing": standing, "ended": ends })
         });
         json!({ "requests": rows.collect::<Vec<_>>() }).to_string()
@@ -208,11 +212,11 @@
         let Some(case) = self.cases.table.get(digest).filter(|c| is_acted_on(c)) else {
             return;
         };
-        let ends: Vec<&str> = case.ends.iter().map(|s| s.id.as_str()).collect();
+        let ends: Vec<&str> = case.terminations.iter().map(|s| s.id.as_str()).collect();
         self.lines.put(
             "request_case",
             json!({
-                "digest": to_text(digest), "standing": format!("{:?}", case.standing()),
+                "digest": to_text(digest), "standing": format!("{:?}", case.status()),
                 "ended": ends, "round": case.round, "source": source,
             }),
         );
@@ -222,11 +226,11 @@
     pub(crate) fn keep_cases(&mut self, now: Duration) {
         if now >= self.cases.due {
             self.cases.due = now + FORGET_GAP;
-            self.cases.table.forget(now);
+            self.cases.table.expire(now);
             // Once more, where the disk did not take it.
             self.write_refused();
         }
-        let turn = self.cases.table.turn();
+        let turn = self.cases.table.cursor();
         if turn == self.cases.pushed {
             return;
         }
--- a/crates/coordinator/src/news.rs
+++ b/crates/coordinator/src/news.rs
@@ -193,7 +193,7 @@
             after: mark,
             changed: changed.iter().map(Registration::from).collect(),
             cases: self.cases.told_since(known, is_gateway),
-            cases_mark: self.cases.table.turn(),
+            cases_mark: self.cases.table.cursor(),
             ..plain
         };
         self.net.send(inbox, Body::News(news));
--- a/crates/gateway/src/cases.rs
+++ b/crates/gateway/src/cases.rs
@@ -3,7 +3,7 @@
 
 use crate::link::Link;
 use crate::suspects::{self, Report};
-use bn_quarantine::{Digest, Start, Told, to_text};
+use bn_quarantine::{CaseUpdate, Digest, Start, to_text};
 use bn_registry::{Condition, Record};
 use bn_wire::messages::envelope::Body;
 use bn_wire::messages::{self as wire};
@@ -15,16 +15,16 @@
 
 impl Link {
     /// Takes in what a coordinator knows of a request under which backend servers ended.
-    pub(crate) fn learn(&self, told: &Told) {
+    pub(crate) fn learn(&self, told: &CaseUpdate) {
         let now = self.shared.now();
         let digest = told.digest;
         let (before, after, ends) = {
             let mut state = self.shared.state();
-            let before = state.cases.standing(digest);
+            let before = state.cases.status(digest);
             state.cases.merge(now, told);
-            state.cases.forget(now);
-            let ends = state.cases.get(digest).map_or(0, |c| c.ends.len());
-            (before, state.cases.standing(digest), ends)
+            state.cases.expire(now);
+            let ends = state.cases.get(digest).map_or(0, |c| c.terminations.len());
+            (before, state.cases.status(digest), ends)
         };
         if before != after {
             self.shared.lines.put(
@@ -41,7 +41,7 @@
     pub(crate) fn learn_end(&self, start: &Start) {
         suspects::fell(&self.shared, start, "told");
         let now = self.shared.now();
-        let end = self.shared.state().watch.ended(now, start);
+        let end = self.shared.state().watch.on_terminated(now, start);
         if let Some(end) = end {
             suspects::tell(&self.shared, end, "told");
         }
@@ -100,7 +100,7 @@
             .shared
             .state()
             .watch
-            .followed(now, &next, record.address);
+            .on_start(now, &next, record.address);
         for end in ends {
             suspects::tell(&self.shared, end, "followed");
         }
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -10,7 +10,7 @@
 use bn_backpressure::GatewaySet;
 use bn_directory::{Named, NamedGateway};
 use bn_net::{Net, Usage};
-use bn_quarantine::{Digest, Told};
+use bn_quarantine::{CaseUpdate, Digest};
 use bn_registry::{Condition, Record};
 use bn_route::Server;
 use bn_wire::messages::envelope::Body;
@@ -225,7 +225,7 @@
             }
         }
         for raw in news.cases {
-            match Told::try_from(raw) {
+            match CaseUpdate::try_from(raw) {
                 Ok(told) => self.learn(&told),
                 Err(e) => log::warn!("a case from {inbox}: {e}"),
             }
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -4,7 +4,7 @@
 use crate::suspects::Report;
 use bn_directory::Named;
 use bn_limit::Queue;
-use bn_quarantine::{Table, Watch};
+use bn_quarantine::{LossTracker, Table};
 use bn_route::{Allowance, Bounds, Fleet, Pace, Patience, Retries, Server, Unit};
 use bn_serve::client::Pool;
 use bn_settle::Plan;
@@ -66,7 +66,7 @@
     /// Requests under which backend servers ended, as coordinators tell them.
     pub(crate) cases: Table,
     /// Runs that were lost here.
-    pub(crate) watch: Watch,
+    pub(crate) watch: LossTracker,
 }
 
 impl State {
@@ -105,7 +105,7 @@
             gateways: 1,
             named: Named::default(),
             cases: Table::default(),
-            watch: Watch::default(),
+            watch: LossTracker::default(),
         };
         Shared(Arc::new(Inner {
             start: Instant::now(),
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -6,7 +6,7 @@
 use crate::place;
 use crate::shared::{Inner, Shared};
 use crate::ticket::Ticket;
-use bn_quarantine::{Digest, End, Lost, Next, Standing, Start, to_text};
+use bn_quarantine::{CaseStatus, Digest, LostRun, NextStep, Start, Termination, to_text};
 use bn_route::Server;
 use bn_serve::client::{self, Connection};
 use serde_json::json;
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub(crate) enum Report {
     /// A backend server ended.
-    End(End),
+    End(Termination),
     /// May this request be tried now, for so long?
     Ask(Digest, Duration, oneshot::Sender<bool>),
     /// A run of a suspect is over, with a whole answer or without.
@@ -77,12 +77,12 @@
         }
     }
 
-    fn standing(&self, ticket: &Ticket) -> Standing {
+    fn standing(&self, ticket: &Ticket) -> CaseStatus {
         let state = self.state();
         // Without cases no digest is worked out.
         match state.cases.is_empty() {
-            true => Standing::Free,
-            false => state.cases.standing(ticket.digest()),
+            true => CaseStatus::Free,
+            false => state.cases.status(ticket.digest()),
         }
     }
 }
@@ -90,7 +90,7 @@
 /// Refuses what is known to end backend servers, before it waits for a place.
 pub(crate) fn refuse_known(shared: &Shared, ticket: &Ticket) -> Result<(), Refusal> {
     match shared.standing(ticket) {
-        Standing::Refused => Err(known(shared, ticket)),
+        CaseStatus::Refused => Err(known(shared, ticket)),
         _ => Ok(()),
     }
 }
@@ -112,10 +112,10 @@
     tries: &mut Tries,
 ) -> Result<(), Refusal> {
     match shared.standing(ticket) {
-        Standing::Free => return Ok(()),
-        Standing::Refused => return Err(known(shared, ticket)),
-        Standing::Suspect if tries.trial.is_some() => return Ok(()),
-        Standing::Suspect => {}
+        CaseStatus::Free => return Ok(()),
+        CaseStatus::Refused => return Err(known(shared, ticket)),
+        CaseStatus::Suspect if tries.trial.is_some() => return Ok(()),
+        CaseStatus::Suspect => {}
     }
     let digest = ticket.digest();
     let (word, told) = oneshot::channel();
@@ -149,10 +149,10 @@
 /// whether the backend server is still there.
 pub(crate) fn lost(shared: &Shared, ticket: &Ticket, tries: &Tries, run: &Run, given_up: bool) {
     let now = shared.now();
-    let lost = Lost {
+    let lost = LostRun {
         digest: ticket.digest(),
-        alone: tries.trial.is_some(),
-        given_up,
+        sole_trial: tries.trial.is_some(),
+        abandoned: given_up,
     };
     let next = {
         let mut state = shared.state();
@@ -161,12 +161,12 @@
         if known.is_none_or(|s| s.leaving || s.began != run.start.began) {
             return;
         }
-        state.watch.lost(now, &run.start, run.address, lost)
+        state.watch.on_lost(now, &run.start, run.address, lost)
     };
     match next {
-        Next::Wait => {}
-        Next::Look => look(shared.clone(), run.clone()),
-        Next::Tell(end) => tell(shared, end, "refused"),
+        NextStep::Wait => {}
+        NextStep::Probe => look(shared.clone(), run.clone()),
+        NextStep::Report(end) => tell(shared, end, "refused"),
     }
 }
 
@@ -189,11 +189,11 @@
         let now = shared.now();
         match opened {
             Ok(connection) => {
-                shared.state().watch.lives(&run.start);
+                shared.state().watch.on_reachable(&run.start);
                 shared.pool.keep(now, connection, None);
             }
             Err(e) if e.nobody_listens() => {
-                let end = shared.state().watch.ended(now, &run.start);
+                let end = shared.state().watch.on_terminated(now, &run.start);
                 if let Some(end) = end {
                     tell(&shared, end, "refused");
                 }
@@ -201,7 +201,7 @@
             }
             Err(e) => {
                 log::debug!("{}: {e}", run.start.id);
-                shared.state().watch.unclear(&run.start);
+                shared.state().watch.on_inconclusive(&run.start);
             }
         }
     });
@@ -227,7 +227,7 @@
 }
 
 /// Tells the coordinators that a backend server ended; `sign` is what shows it here.
-pub(crate) fn tell(shared: &Shared, end: End, sign: &str) {
+pub(crate) fn tell(shared: &Shared, end: Termination, sign: &str) {
     let digests: Vec<String> = end.runs.iter().map(|(d, _)| to_text(*d)).collect();
     let alone = end.runs.iter().any(|(_, alone)| *alone);
     shared.lines.put(
--- a/crates/quarantine/src/losses.rs
+++ b/crates/quarantine/src/losses.rs
@@ -1,162 +1,174 @@
-//! What a gateway remembers of runs that were lost, until it is clear whether their backend server
-//! ended.
+//! Lost runs that a gateway remembers until it is clear whether their backend server terminated.
 //!
-//! A lost connection is no sign by itself: connections are reset, answers break off, a group that lost
-//! one rank cuts off the streams of all others. Only an end counts: nobody listens at the address any
-//! more, or another start is there.
+//! A lost connection alone is no proof: connections are reset, responses break off, and a group
+//! that lost one rank cuts off the streams of all others. Only a termination counts: nobody listens
+//! at the address any more, or another start is there.
 
 use crate::{Digest, Start};
 use indexmap::IndexMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A lost run waits so long for the news of an end: a backend server is back, and told, within some
-/// seconds, and one that fell silent is noticed by then.
-const WAITING: Duration = Duration::from_secs(15);
-/// A run that was given up here (its caller left) counts where its backend server ended within this
-/// time: it may have been begun meanwhile.
-const GIVEN_UP: Duration = Duration::from_secs(1);
-/// Starts that are watched at the most: a rack of 24, and some that end besides.
-const MOST: usize = 256;
-/// Lost runs that are kept of one start.
-const MOST_RUNS: usize = 64;
+/// How long a lost run waits for the report of a termination: a backend server has restarted and
+/// been announced within some seconds, and one that went silent is noticed by then.
+const RETENTION: Duration = Duration::from_secs(15);
+/// An abandoned run (its caller left) counts if its backend server terminated within this time: the
+/// run may have been started in the meantime.
+const ABANDONED_WINDOW: Duration = Duration::from_secs(1);
+/// Maximum number of tracked starts: a rack of 24, and some that terminate besides.
+const MAX_STARTS: usize = 256;
+/// Maximum number of lost runs kept per start.
+const MAX_RUNS: usize = 64;
 
-/// A run without a whole answer.
+/// A run without a complete response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Lost {
+pub struct LostRun {
     /// The request.
     pub digest: Digest,
-    /// It was the request's only try in the fleet.
-    pub alone: bool,
-    /// It was given up here, and did not break off there.
-    pub given_up: bool,
+    /// It was the request's only trial in the fleet.
+    pub sole_trial: bool,
+    /// It was abandoned by this gateway, and did not break off at the backend server.
+    pub abandoned: bool,
 }
 
-/// A backend server ended under these requests.
+/// The termination of a backend server, and the requests that it was running.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct End {
-    /// The start that ended.
+pub struct Termination {
+    /// The start that terminated.
     pub start: Start,
-    /// Requests that ran there, and whether that was their only try.
+    /// Requests that were running there, and whether that was their only trial.
     pub runs: Vec<(Digest, bool)>,
 }
 
 /// What to do after a run was lost.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Next {
-    /// Nothing: a look is under way, or not called for.
+pub enum NextStep {
+    /// Nothing: a probe is under way, or not needed.
     Wait,
-    /// Look whether somebody still listens there.
-    Look,
-    /// It is known to have ended.
-    Tell(End),
+    /// Probe whether the address still accepts connections.
+    Probe,
+    /// Report the termination, which is already known.
+    Report(Termination),
 }
 
 #[derive(Debug, Clone)]
 struct Row {
     address: SocketAddr,
-    runs: Vec<(Duration, Lost)>,
-    looking: bool,
-    /// When it was known to have ended.
-    ended: Option<Duration>,
-    touched: Duration,
+    runs: Vec<(Duration, LostRun)>,
+    probing: bool,
+    /// When its termination became known.
+    terminated_at: Option<Duration>,
+    updated_at: Duration,
 }
 
 /// Starts of backend servers at which runs were lost.
 #[derive(Debug, Clone, Default)]
-pub struct Watch(IndexMap<Start, Row>);
+pub struct LossTracker(IndexMap<Start, Row>);
 
-impl Watch {
+impl LossTracker {
     /// A run was lost.
-    pub fn lost(&mut self, now: Duration, start: &Start, address: SocketAddr, lost: Lost) -> Next {
-        self.sweep(now);
+    pub fn on_lost(
+        &mut self,
+        now: Duration,
+        start: &Start,
+        address: SocketAddr,
+        lost: LostRun,
+    ) -> NextStep {
+        self.evict(now);
         let row = self.0.entry(start.clone()).or_insert_with(|| Row {
             address,
             runs: Vec::new(),
-            looking: false,
-            ended: None,
-            touched: now,
+            probing: false,
+            terminated_at: None,
+            updated_at: now,
         });
-        row.touched = now;
-        if let Some(ended) = row.ended {
-            let late = lost.given_up && now > ended + GIVEN_UP;
+        row.updated_at = now;
+        if let Some(terminated_at) = row.terminated_at {
+            let late = lost.abandoned && now > terminated_at + ABANDONED_WINDOW;
             return if late {
-                Next::Wait
+                NextStep::Wait
             } else {
-                Next::Tell(end(start, &[lost]))
+                NextStep::Report(termination(start, &[lost]))
             };
         }
-        if row.runs.len() < MOST_RUNS {
+        if row.runs.len() < MAX_RUNS {
             row.runs.push((now, lost));
         }
-        if lost.given_up || row.looking {
-            return Next::Wait;
+        if lost.abandoned || row.probing {
+            return NextStep::Wait;
         }
-        row.looking = true;
-        Next::Look
+        row.probing = true;
+        NextStep::Probe
     }
 
-    /// Somebody took a connection there: what broke was the connection.
-    pub fn lives(&mut self, start: &Start) {
+    /// The probe was accepted: only the connection had broken.
+    pub fn on_reachable(&mut self, start: &Start) {
         if let Some(row) = self.0.get_mut(start) {
-            row.looking = false;
-            row.runs.retain(|(_, lost)| lost.given_up);
+            row.probing = false;
+            row.runs.retain(|(_, lost)| lost.abandoned);
         }
     }
 
-    /// Nobody answered the look: it may be cut off. The runs wait for other news.
-    pub fn unclear(&mut self, start: &Start) {
+    /// The probe got no answer: the backend server may be cut off. Its runs wait for other
+    /// evidence.
+    pub fn on_inconclusive(&mut self, start: &Start) {
         if let Some(row) = self.0.get_mut(start) {
-            row.looking = false;
+            row.probing = false;
         }
     }
 
-    /// Nobody listens there: it has ended. Told once; runs that are lost later are told as they come.
-    pub fn ended(&mut self, now: Duration, start: &Start) -> Option<End> {
+    /// Nobody listens there: it has terminated. Returned once; runs lost later are reported one by
+    /// one.
+    pub fn on_terminated(&mut self, now: Duration, start: &Start) -> Option<Termination> {
         let row = self.0.get_mut(start)?;
-        if row.ended.is_some() {
+        if row.terminated_at.is_some() {
             return None;
         }
-        row.ended = Some(now);
+        row.terminated_at = Some(now);
         let runs = std::mem::take(&mut row.runs);
-        // Where nothing broke, the end came by other news, maybe seconds late.
-        let broke = runs.iter().find(|(_, l)| !l.given_up).map(|(at, _)| *at);
-        let at = broke.unwrap_or(now);
-        let counts = |at_lost: &Duration, l: &Lost| !l.given_up || *at_lost + GIVEN_UP > at;
+        // If no run broke off, the termination is known from elsewhere, maybe seconds late.
+        let broke_at = runs.iter().find(|(_, l)| !l.abandoned).map(|(at, _)| *at);
+        let at = broke_at.unwrap_or(now);
+        let counts =
+            |lost_at: &Duration, l: &LostRun| !l.abandoned || *lost_at + ABANDONED_WINDOW > at;
         let runs = runs.iter().filter(|(a, l)| counts(a, l));
-        let runs: Vec<Lost> = runs.map(|(_, l)| *l).collect();
-        (!runs.is_empty()).then(|| end(start, &runs))
+        let runs: Vec<LostRun> = runs.map(|(_, l)| *l).collect();
+        (!runs.is_empty()).then(|| termination(start, &runs))
     }
 
-    /// A backend server is told of: starts before it under the same id, and others at its address, have
-    /// ended.
-    pub fn followed(
+    /// A start of a backend server is announced: earlier starts with the same id, and other backend
+    /// servers at its address, have terminated.
+    pub fn on_start(
         &mut self,
         now: Duration,
         next: &Start,
         address: Option<SocketAddr>,
-    ) -> Vec<End> {
-        let over = |(start, row): &(&Start, &Row)| {
+    ) -> Vec<Termination> {
+        let superseded = |(start, row): &(&Start, &Row)| {
             let earlier = start.id == next.id && start.began < next.began;
             let replaced = start.id != next.id && Some(row.address) == address;
-            row.ended.is_none() && (earlier || replaced)
+            row.terminated_at.is_none() && (earlier || replaced)
         };
-        let over: Vec<Start> = self.0.iter().filter(over).map(|(s, _)| s.clone()).collect();
-        over.iter().filter_map(|s| self.ended(now, s)).collect()
+        let rows = self.0.iter().filter(superseded);
+        let starts: Vec<Start> = rows.map(|(s, _)| s.clone()).collect();
+        starts
+            .iter()
+            .filter_map(|s| self.on_terminated(now, s))
+            .collect()
     }
 
-    fn sweep(&mut self, now: Duration) {
+    fn evict(&mut self, now: Duration) {
         self.0
-            .retain(|_, r| now.saturating_sub(r.touched) < WAITING);
-        while self.0.len() >= MOST {
+            .retain(|_, r| now.saturating_sub(r.updated_at) < RETENTION);
+        while self.0.len() >= MAX_STARTS {
             self.0.shift_remove_index(0);
         }
     }
 }
 
-fn end(start: &Start, runs: &[Lost]) -> End {
-    End {
+fn termination(start: &Start, runs: &[LostRun]) -> Termination {
+    Termination {
         start: start.clone(),
-        runs: runs.iter().map(|l| (l.digest, l.alone)).collect(),
+        runs: runs.iter().map(|l| (l.digest, l.sole_trial)).collect(),
     }
 }
--- a/crates/quarantine/src/table.rs
+++ b/crates/quarantine/src/table.rs
@@ -1,26 +1,26 @@
-//! All cases that a process knows: what coordinators keep, and gateways follow.
+//! All cases that a process knows: coordinators own them, and gateways follow.
 
-use crate::{Case, Digest, Standing, Start};
+use crate::{Case, CaseStatus, Digest, Start};
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// Cases kept at the most. A rack of 24 backend servers with 12 requests each is 288 at once.
-const MOST: usize = 4096;
-/// Requests that are refused at the most; then the one whose last news is oldest is let go.
-const MOST_REFUSED: usize = 256;
-/// A case without news for this long is closed: the callers of its tries are long gone, and a request
-/// that comes again after that begins anew.
-const OPEN: Duration = Duration::from_secs(600);
-/// A refusal lasts for so long. A build of the backend servers that bears the request may be there
-/// by then; one that does not costs one more try.
-const REFUSED: Duration = Duration::from_secs(24 * 3600);
-
-/// Number of a change of a table.
-pub type Turn = u64;
-
-/// A case as one process tells it to another.
+/// Maximum number of cases. A rack of 24 backend servers with 12 requests each is 288 at once.
+const MAX_CASES: usize = 4096;
+/// Maximum number of refused requests; beyond it the least recently updated one is dropped.
+const MAX_REFUSED: usize = 256;
+/// A case without an update for this long is closed: the callers of its runs are long gone, and a
+/// request that arrives again after that starts a new case.
+const OPEN_RETENTION: Duration = Duration::from_secs(600);
+/// How long a refusal lasts. A build of the backend servers that survives the request may be
+/// deployed by then; one that does not costs one more run.
+const REFUSED_RETENTION: Duration = Duration::from_secs(24 * 3600);
+
+/// Position in a table's sequence of changes.
+pub type Cursor = u64;
+
+/// A case as one process sends it to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Told {
+pub struct CaseUpdate {
     /// The request.
     pub digest: Digest,
     /// What is known of it.
@@ -30,17 +30,17 @@
 #[derive(Debug, Clone, Default)]
 struct Row {
     case: Case,
-    /// Last news of it, on this process's clock.
-    touched: Duration,
-    /// Change at which it last became news.
-    turn: Turn,
+    /// Its last update, on this process's clock.
+    updated_at: Duration,
+    /// Position of its last change.
+    cursor: Cursor,
 }
 
-/// A process's cases.
+/// The cases of a process.
 #[derive(Debug, Clone, Default)]
 pub struct Table {
     rows: IndexMap<Digest, Row>,
-    turn: Turn,
+    cursor: Cursor,
 }
 
 impl Table {
@@ -49,18 +49,18 @@
         self.rows.is_empty()
     }
 
-    /// Latest change.
-    pub fn turn(&self) -> Turn {
-        self.turn
+    /// Position of the latest change.
+    pub fn cursor(&self) -> Cursor {
+        self.cursor
     }
 
     /// What may be done with a request.
-    pub fn standing(&self, digest: Digest) -> Standing {
+    pub fn status(&self, digest: Digest) -> CaseStatus {
         let row = self.rows.get(&digest);
-        row.map_or(Standing::Free, |r| r.case.standing())
+        row.map_or(CaseStatus::Free, |r| r.case.status())
     }
 
-    /// Something is held against a request.
+    /// There is evidence against a request.
     pub fn is_open(&self, digest: Digest) -> bool {
         self.rows.get(&digest).is_some_and(|r| r.case.is_open())
     }
@@ -70,39 +70,45 @@
         self.rows.get(&digest).map(|r| &r.case)
     }
 
-    /// Cases that changed after `turn`.
-    pub fn since(&self, turn: Turn) -> Vec<Told> {
-        self.told(|r| r.turn > turn)
+    /// Cases that changed after `cursor`.
+    pub fn since(&self, cursor: Cursor) -> Vec<CaseUpdate> {
+        self.select(|r| r.cursor > cursor)
     }
 
     /// Cases of requests that are refused.
-    pub fn refused(&self) -> Vec<Told> {
-        self.told(|r| r.case.refused)
+    pub fn refused(&self) -> Vec<CaseUpdate> {
+        self.select(|r| r.case.refused)
     }
 
-    fn told(&self, which: impl Fn(&Row) -> bool) -> Vec<Told> {
-        let rows = self.rows.iter().filter(|(_, r)| which(r));
-        let told = rows.map(|(digest, r)| Told {
+    fn select(&self, matches: impl Fn(&Row) -> bool) -> Vec<CaseUpdate> {
+        let rows = self.rows.iter().filter(|(_, r)| matches(r));
+        let updates = rows.map(|(digest, r)| CaseUpdate {
             digest: *digest,
             case: r.case.clone(),
         });
-        told.collect()
+        updates.collect()
     }
 
-    /// A backend server ended under `digest`; whether the case is another now.
-    pub fn ended(&mut self, now: Duration, digest: Digest, start: &Start, alone: bool) -> bool {
-        self.change(now, digest, |case| case.add(start.clone(), alone))
+    /// A backend server terminated under `digest`; returns whether that changed the case.
+    pub fn add_termination(
+        &mut self,
+        now: Duration,
+        digest: Digest,
+        start: &Start,
+        sole_trial: bool,
+    ) -> bool {
+        self.change(now, digest, |case| case.add(start.clone(), sole_trial))
     }
 
-    /// The request got a whole answer, or an operator vouches for it. A case that nobody opened
-    /// needs no closing.
+    /// The request got a complete response, or an operator vouches for it. A request without an
+    /// open case is left as it is.
     pub fn close(&mut self, now: Duration, digest: Digest) -> bool {
         self.is_open(digest) && self.change(now, digest, Case::close)
     }
 
-    /// Another process's view of a case; whether it brought anything.
-    pub fn merge(&mut self, now: Duration, told: &Told) -> bool {
-        self.change(now, told.digest, |case| case.merge(&told.case))
+    /// Merges another process's view of a case; returns whether that changed it.
+    pub fn merge(&mut self, now: Duration, update: &CaseUpdate) -> bool {
+        self.change(now, update.digest, |case| case.merge(&update.case))
     }
 
     fn change(&mut self, now: Duration, digest: Digest, apply: impl FnOnce(&mut Case)) -> bool {
@@ -111,39 +117,43 @@
         apply(&mut row.case);
         let changed = row.case != before;
         if changed {
-            self.turn += 1;
-            row.touched = now;
-            row.turn = self.turn;
+            self.cursor += 1;
+            row.updated_at = now;
+            row.cursor = self.cursor;
         }
-        self.bound();
+        self.evict();
         changed
     }
 
-    /// Lets the oldest go where there are too many. What is refused goes last: it would cost backend
-    /// servers to learn it again.
-    fn bound(&mut self) {
+    /// Drops the oldest case if there are too many. Refused requests go last: learning them again
+    /// would cost backend servers.
+    fn evict(&mut self) {
         let refused = self.rows.values().filter(|r| r.case.refused).count();
-        if refused > MOST_REFUSED {
+        if refused > MAX_REFUSED {
             self.drop_oldest(|r| r.case.refused);
-        } else if self.rows.len() > MOST {
+        } else if self.rows.len() > MAX_CASES {
             self.drop_oldest(|r| !r.case.refused);
         }
     }
 
     fn drop_oldest(&mut self, among: impl Fn(&Row) -> bool) {
         let rows = self.rows.iter().filter(|(_, r)| among(r));
-        let oldest = rows.min_by_key(|(_, r)| r.touched).map(|(d, _)| *d);
+        let oldest = rows.min_by_key(|(_, r)| r.updated_at).map(|(d, _)| *d);
         if let Some(digest) = oldest {
             self.rows.swap_remove(&digest);
         }
     }
 
-    /// Drops what is too old to matter; returns how many.
-    pub fn forget(&mut self, now: Duration) -> usize {
+    /// Drops cases past their retention; returns how many.
+    pub fn expire(&mut self, now: Duration) -> usize {
         let before = self.rows.len();
         self.rows.retain(|_, r| {
-            let kept = if r.case.refused { REFUSED } else { OPEN };
-            now.saturating_sub(r.touched) < kept
+            let retention = if r.case.refused {
+                REFUSED_RETENTION
+            } else {
+                OPEN_RETENTION
+            };
+            now.saturating_sub(r.updated_at) < retention
         });
         before - self.rows.len()
     }
--- a/crates/quarantine/src/wire.rs
+++ b/crates/quarantine/src/wire.rs
@@ -1,20 +1,20 @@
-//! Conversions between cases, ends and the schema's types.
+//! Conversions between cases, terminations and the schema's types.
 
-use crate::{Case, Digest, End, Start, Told};
+use crate::{Case, CaseUpdate, Digest, Start, Termination};
 use bn_wire::messages as wire;
 use snafu::{OptionExt, Snafu};
 
-/// A message without a digest of 16 bytes, or without the start that it speaks of.
+/// A message without a digest of 16 bytes, or without the start that it is about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
-#[snafu(display("the message names no request, or no backend server"))]
-pub struct NoDigest;
+#[snafu(display("message lacks the 16-byte digest of a request or the start of a backend server"))]
+pub struct InvalidMessage;
 
 /// Result of reading a message.
-pub(crate) type Result<T, E = NoDigest> = std::result::Result<T, E>;
+pub(crate) type Result<T, E = InvalidMessage> = std::result::Result<T, E>;
 
 /// The digest in a message.
 pub fn read_digest(bytes: &[u8]) -> Result<Digest> {
-    let bytes = bytes.try_into().ok().context(NoDigestSnafu)?;
+    let bytes = bytes.try_into().ok().context(InvalidMessageSnafu)?;
     Ok(Digest::from_be_bytes(bytes))
 }
 
@@ -36,53 +36,54 @@
     }
 }
 
-impl From<&Told> for wire::Case {
-    fn from(told: &Told) -> Self {
-        let case = &told.case;
+impl From<&CaseUpdate> for wire::Case {
+    fn from(update: &CaseUpdate) -> Self {
+        let case = &update.case;
         wire::Case {
-            digest: told.digest.to_be_bytes().to_vec(),
+            digest: update.digest.to_be_bytes().to_vec(),
             round: case.round,
-            ends: case.ends.iter().map(Into::into).collect(),
+            ends: case.terminations.iter().map(Into::into).collect(),
             refused: case.refused,
         }
     }
 }
 
-impl TryFrom<wire::Case> for Told {
-    type Error = NoDigest;
+impl TryFrom<wire::Case> for CaseUpdate {
+    type Error = InvalidMessage;
 
     fn try_from(raw: wire::Case) -> Result<Self> {
         let case = Case {
             round: raw.round,
-            ends: raw.ends.into_iter().map(Into::into).collect(),
+            terminations: raw.ends.into_iter().map(Into::into).collect(),
             refused: raw.refused,
         };
         let digest = read_digest(&raw.digest)?;
-        Ok(Told { digest, case })
+        Ok(CaseUpdate { digest, case })
     }
 }
 
-impl From<&End> for wire::Ended {
-    fn from(end: &End) -> Self {
-        let runs = end.runs.iter().map(|(digest, alone)| wire::LostRun {
+impl From<&Termination> for wire::Ended {
+    fn from(termination: &Termination) -> Self {
+        let runs = termination.runs.iter();
+        let runs = runs.map(|(digest, sole_trial)| wire::LostRun {
             digest: digest.to_be_bytes().to_vec(),
-            alone: *alone,
+            alone: *sole_trial,
         });
         wire::Ended {
-            start: Some((&end.start).into()),
+            start: Some((&termination.start).into()),
             runs: runs.collect(),
         }
     }
 }
 
-impl TryFrom<wire::Ended> for End {
-    type Error = NoDigest;
+impl TryFrom<wire::Ended> for Termination {
+    type Error = InvalidMessage;
 
     fn try_from(raw: wire::Ended) -> Result<Self> {
         let runs = raw.runs.into_iter();
         let runs = runs.map(|r| Ok((read_digest(&r.digest)?, r.alone)));
-        Ok(End {
-            start: raw.start.context(NoDigestSnafu)?.into(),
+        Ok(Termination {
+            start: raw.start.context(InvalidMessageSnafu)?.into(),
             runs: runs.collect::<Result<_>>()?,
         })
     }
--- a/crates/quarantine/tests/cases.rs
+++ b/crates/quarantine/tests/cases.rs
@@ -1,8 +1,11 @@
-//! Cases, tries and lost runs, each by itself.
+//! Unit tests of cases, trials and lost runs.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
-use bn_quarantine::{Case, Digest, End, Lost, Next, Standing, Start, Table, Told, Trials, Watch};
+use bn_quarantine::{
+    Case, CaseStatus, CaseUpdate, Digest, LossTracker, LostRun, NextStep, Start, Table,
+    Termination, Trials,
+};
 use googletest::prelude::*;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,62 +25,62 @@
     Duration::from_secs(n)
 }
 
-fn broke(digest: Digest) -> Lost {
-    Lost {
+fn broken(digest: Digest) -> LostRun {
+    LostRun {
         digest,
-        alone: false,
-        given_up: false,
+        sole_trial: false,
+        abandoned: false,
     }
 }
 
-fn given_up(digest: Digest) -> Lost {
-    Lost {
-        given_up: true,
-        ..broke(digest)
+fn abandoned(digest: Digest) -> LostRun {
+    LostRun {
+        abandoned: true,
+        ..broken(digest)
     }
 }
 
-/// A table in which each backend server of `ends` ended under the request.
-fn table(ends: &[&str], alone: bool) -> Table {
+/// A table in which each backend server of `servers` terminated under the request.
+fn table(servers: &[&str], sole_trial: bool) -> Table {
     let mut table = Table::default();
-    for id in ends {
-        table.ended(seconds(1), REQUEST, &start(id, 0), alone);
+    for id in servers {
+        table.add_termination(seconds(1), REQUEST, &start(id, 0), sole_trial);
     }
     table
 }
 
 #[googletest::test]
-fn one_end_is_chance_two_are_suspicious_and_one_of_a_single_try_decides() {
-    let standing = |ends: &[&str], alone| table(ends, alone).standing(REQUEST);
-
-    expect_that!(standing(&[], false), eq(Standing::Free));
-    expect_that!(standing(&["a"], false), eq(Standing::Free));
-    // Several gateways tell of the same end.
-    expect_that!(standing(&["a", "a"], false), eq(Standing::Free));
-    expect_that!(standing(&["a", "b"], false), eq(Standing::Suspect));
+fn one_termination_is_free_two_are_suspect_and_one_during_a_trial_refuses() {
+    let status = |servers: &[&str], sole_trial| table(servers, sole_trial).status(REQUEST);
+
+    expect_that!(status(&[], false), eq(CaseStatus::Free));
+    expect_that!(status(&["a"], false), eq(CaseStatus::Free));
+    // Several gateways report the same termination.
+    expect_that!(status(&["a", "a"], false), eq(CaseStatus::Free));
+    expect_that!(status(&["a", "b"], false), eq(CaseStatus::Suspect));
     expect_that!(
-        standing(&["a", "b", "c", "d"], false),
-        eq(Standing::Suspect)
+        status(&["a", "b", "c", "d"], false),
+        eq(CaseStatus::Suspect)
     );
-    expect_that!(standing(&["a"], true), eq(Standing::Refused));
+    expect_that!(status(&["a"], true), eq(CaseStatus::Refused));
 }
 
-/// Symptom: a sound request that many callers send is refused after a rack was lost. Sequence: it runs
-/// everywhere; six backend servers end at once; its next run brings a whole answer. Cause: having been
-/// there was taken for having done it.
+/// Failure: a harmless request that many callers send is refused after the loss of a rack. It runs
+/// everywhere; six backend servers terminate at once; its next run gets a complete response. Cause:
+/// running at a termination was taken for causing it.
 #[googletest::test]
-fn a_whole_answer_closes_the_case_whatever_was_held_against_it() {
+fn a_complete_response_closes_the_case_whatever_the_evidence() {
     let mut table = table(&["a", "b", "c", "d", "e", "f"], false);
     let before = table.since(0).remove(0);
 
     let closed = table.close(seconds(2), REQUEST);
 
     expect_true!(closed);
-    expect_that!(table.standing(REQUEST), eq(Standing::Free));
-    // Who hears of the ends only now does not open it again.
+    expect_that!(table.status(REQUEST), eq(CaseStatus::Free));
+    // An update with the earlier terminations that arrives late does not reopen the case.
     table.merge(seconds(3), &before);
-    expect_that!(table.standing(REQUEST), eq(Standing::Free));
-    // One without a case needs no closing.
+    expect_that!(table.status(REQUEST), eq(CaseStatus::Free));
+    // A request without a case needs no closing.
     expect_false!(table.close(seconds(3), REQUEST + 1));
 }
 
@@ -92,17 +95,17 @@
             closed
         },
         {
-            let mut again = table(&["a"], false);
-            again.close(seconds(2), REQUEST);
-            again.ended(seconds(3), REQUEST, &start("d", 0), false);
-            again
+            let mut reopened = table(&["a"], false);
+            reopened.close(seconds(2), REQUEST);
+            reopened.add_termination(seconds(3), REQUEST, &start("d", 0), false);
+            reopened
         },
     ];
-    let told: Vec<Told> = views.iter().flat_map(|t| t.since(0)).collect();
+    let updates: Vec<CaseUpdate> = views.iter().flat_map(|t| t.since(0)).collect();
     let merged = |order: &[usize]| {
         let mut table = Table::default();
         for n in order {
-            table.merge(seconds(4), &told[*n]);
+            table.merge(seconds(4), &updates[*n]);
         }
         table.get(REQUEST).cloned()
     };
@@ -113,44 +116,45 @@
         expect_that!(merged(&order), eq(&first));
     }
     expect_that!(merged(&[0, 1, 2, 3, 3, 0]), eq(&first));
-    let ends: Vec<Start> = first.unwrap_or_default().ends.into_iter().collect();
-    expect_that!(ends, eq(&[start("d", 0)]));
+    let case = first.unwrap_or_default();
+    let starts: Vec<Start> = case.terminations.into_iter().collect();
+    expect_that!(starts, eq(&[start("d", 0)]));
 }
 
 #[googletest::test]
-fn what_is_refused_is_remembered_for_a_day_and_the_rest_for_minutes() {
+fn refusals_are_kept_for_a_day_and_open_cases_for_minutes() {
     let mut open = table(&["a", "b"], false);
     let mut refused = table(&["a"], true);
 
     for table in [&mut open, &mut refused] {
-        table.forget(seconds(602));
+        table.expire(seconds(602));
     }
 
-    expect_that!(open.standing(REQUEST), eq(Standing::Free));
-    expect_that!(refused.standing(REQUEST), eq(Standing::Refused));
-    refused.forget(seconds(24 * 3600 + 2));
-    expect_that!(refused.standing(REQUEST), eq(Standing::Free));
+    expect_that!(open.status(REQUEST), eq(CaseStatus::Free));
+    expect_that!(refused.status(REQUEST), eq(CaseStatus::Refused));
+    refused.expire(seconds(24 * 3600 + 2));
+    expect_that!(refused.status(REQUEST), eq(CaseStatus::Free));
 }
 
 #[googletest::test]
-fn tables_are_bounded_and_keep_what_is_refused() {
+fn tables_are_bounded_and_keep_refusals() {
     let mut table = table(&["a"], true);
     for n in 0..6_000 {
-        table.ended(seconds(2), 100 + n, &start("b", 0), false);
+        table.add_termination(seconds(2), 100 + n, &start("b", 0), false);
     }
 
     expect_that!(table.since(0).len(), eq(4096));
-    expect_that!(table.standing(REQUEST), eq(Standing::Refused));
+    expect_that!(table.status(REQUEST), eq(CaseStatus::Refused));
     for n in 0..400 {
-        table.ended(seconds(3), 10_000 + n, &start("c", 0), true);
+        table.add_termination(seconds(3), 10_000 + n, &start("c", 0), true);
     }
     expect_that!(table.refused().len(), eq(256));
 }
 
-/// Symptom: copies at several gateways end a backend server each. Sequence: two gateways ask for the
-/// same request within milliseconds. Cause: both were let.
+/// Failure: copies of a request at several gateways terminate a backend server each. Two gateways
+/// ask for a trial of the same request within milliseconds, and both are granted.
 #[googletest::test]
-fn one_try_at_a_time_runs_in_the_fleet() {
+fn one_trial_at_a_time_runs_in_the_fleet() {
     let mut trials = Trials::default();
     let time = seconds(2);
 
@@ -158,104 +162,106 @@
     expect_false!(trials.grant(seconds(1), REQUEST, time));
     expect_true!(trials.grant(seconds(1), REQUEST + 1, time));
 
-    // Its backend server may have ended: that news takes some time.
-    trials.done(seconds(2), REQUEST, false);
+    // Its backend server may have terminated: that report takes some time.
+    trials.finish(seconds(2), REQUEST, false);
     expect_false!(trials.grant(seconds(2), REQUEST, time));
-    // A look that opens a connection twice is over 0.6 s later.
+    // A probe that opens a connection twice takes 0.6 s.
     expect_false!(trials.grant(Duration::from_millis(2_600), REQUEST, time));
     expect_true!(trials.grant(seconds(3), REQUEST, time));
-    trials.done(seconds(3), REQUEST, true);
+    trials.finish(seconds(3), REQUEST, true);
     expect_true!(trials.grant(seconds(3), REQUEST, time));
-    // A gateway that is gone says nothing.
+    // A gateway that is gone does not report the end of its trial.
     expect_true!(trials.grant(seconds(40), REQUEST, time));
 }
 
-/// Symptom: requests of a whole group are suspected after one rank ended. Sequence: the other ranks cut
-/// their streams off 1.5 s later, and live. Cause: a broken connection was taken for an end.
+/// Failure: requests of a whole group become suspects after one rank terminated. The other ranks
+/// cut off their streams 1.5 s later, and stay alive. Cause: a broken connection was taken for a
+/// termination.
 #[googletest::test]
-fn a_run_that_broke_off_counts_only_where_its_backend_server_ended() {
-    let mut watch = Watch::default();
-    let (ended, lives) = (start("a", 5), start("b", 5));
-
-    let looks = [
-        watch.lost(seconds(1), &ended, address(1), broke(1)),
-        watch.lost(seconds(1), &ended, address(1), broke(2)),
-        watch.lost(seconds(1), &lives, address(2), broke(3)),
+fn a_run_that_broke_off_counts_only_if_its_backend_server_terminated() {
+    let mut tracker = LossTracker::default();
+    let (terminated, alive) = (start("a", 5), start("b", 5));
+
+    let steps = [
+        tracker.on_lost(seconds(1), &terminated, address(1), broken(1)),
+        tracker.on_lost(seconds(1), &terminated, address(1), broken(2)),
+        tracker.on_lost(seconds(1), &alive, address(2), broken(3)),
     ];
-    watch.lives(&lives);
-    let end = watch.ended(seconds(1), &ended);
-    let later = watch.lost(seconds(1), &ended, address(1), broke(4));
-
-    expect_that!(looks, eq(&[Next::Look, Next::Wait, Next::Look]));
-    let told = |runs: &[Digest]| End {
-        start: ended.clone(),
+    tracker.on_reachable(&alive);
+    let first = tracker.on_terminated(seconds(1), &terminated);
+    let later = tracker.on_lost(seconds(1), &terminated, address(1), broken(4));
+
+    let expected = [NextStep::Probe, NextStep::Wait, NextStep::Probe];
+    expect_that!(steps, eq(&expected));
+    let report = |runs: &[Digest]| Termination {
+        start: terminated.clone(),
         runs: runs.iter().map(|d| (*d, false)).collect(),
     };
-    expect_that!(end, some(eq(&told(&[1, 2]))));
-    expect_that!(later, eq(&Next::Tell(told(&[4]))));
-    expect_that!(watch.ended(seconds(1), &ended), none());
-    // One that lives is looked at again, and its run is not held against anybody.
+    expect_that!(first, some(eq(&report(&[1, 2]))));
+    expect_that!(later, eq(&NextStep::Report(report(&[4]))));
+    expect_that!(tracker.on_terminated(seconds(1), &terminated), none());
+    // One that is alive is probed again, and its earlier run does not count.
     expect_that!(
-        watch.lost(seconds(2), &lives, address(2), broke(5)),
-        eq(&Next::Look)
+        tracker.on_lost(seconds(2), &alive, address(2), broken(5)),
+        eq(&NextStep::Probe)
     );
-    let end = watch.ended(seconds(2), &lives).unwrap();
-    expect_that!(end.runs, eq(&[(5, false)]));
+    let second = tracker.on_terminated(seconds(2), &alive).unwrap();
+    expect_that!(second.runs, eq(&[(5, false)]));
 }
 
-/// Symptom: a request ends backend servers and is never suspected. Sequence: its caller leaves just
-/// before the end, so that nothing breaks here. Cause: only broken runs counted.
+/// Failure: a request terminates backend servers and never becomes a suspect. Its caller leaves
+/// just before the termination, so that no connection breaks here. Cause: only broken runs counted.
 #[googletest::test]
-fn runs_that_were_given_up_just_before_an_end_count() {
-    let mut watch = Watch::default();
-    let there = start("a", 0);
-    watch.lost(seconds(1), &there, address(1), given_up(1));
-    watch.lost(seconds(4), &there, address(1), given_up(2));
-    let next = watch.lost(seconds(4), &there, address(1), broke(3));
+fn runs_that_were_abandoned_just_before_a_termination_count() {
+    let mut tracker = LossTracker::default();
+    let server = start("a", 0);
+    tracker.on_lost(seconds(1), &server, address(1), abandoned(1));
+    tracker.on_lost(seconds(4), &server, address(1), abandoned(2));
+    let next = tracker.on_lost(seconds(4), &server, address(1), broken(3));
 
-    let end = watch.ended(seconds(4), &there).unwrap();
+    let termination = tracker.on_terminated(seconds(4), &server).unwrap();
 
-    expect_that!(next, eq(&Next::Look));
-    expect_that!(end.runs, eq(&[(2, false), (3, false)]));
+    expect_that!(next, eq(&NextStep::Probe));
+    expect_that!(termination.runs, eq(&[(2, false), (3, false)]));
 }
 
-/// Symptom: a request that makes its backend server fall silent is never suspected. Sequence: nobody
-/// answers a look; seconds later another start is there. Cause: only a refused connection counted.
+/// Failure: a request that makes its backend server go silent never becomes a suspect. A probe gets
+/// no answer; seconds later another start is there. Cause: only a refused connection counted.
 #[googletest::test]
-fn a_later_start_shows_the_end_of_the_one_before() {
-    for (next, ends) in [
+fn a_later_start_proves_the_termination_of_the_one_before() {
+    for (next, count) in [
         (start("a", 6), 1),
         (start("b", 9), 1),
         (start("a", 5), 0),
         (start("a", 4), 0),
     ] {
-        let mut watch = Watch::default();
+        let mut tracker = LossTracker::default();
         let before = start("a", 5);
-        watch.lost(seconds(1), &before, address(1), broke(1));
-        watch.unclear(&before);
+        tracker.on_lost(seconds(1), &before, address(1), broken(1));
+        tracker.on_inconclusive(&before);
 
-        let told = watch.followed(seconds(4), &next, Some(address(1)));
+        let terminated = tracker.on_start(seconds(4), &next, Some(address(1)));
 
-        expect_that!(told.len(), eq(ends), "{next:?}");
-        let elsewhere = watch.followed(seconds(4), &start("c", 9), Some(address(2)));
+        expect_that!(terminated.len(), eq(count), "{next:?}");
+        let elsewhere = tracker.on_start(seconds(4), &start("c", 9), Some(address(2)));
         expect_that!(elsewhere, is_empty());
     }
 }
 
 #[googletest::test]
-fn cases_and_ends_come_back_from_the_wire() {
-    let told = table(&["a", "b"], true).since(0).remove(0);
-    let end = End {
+fn cases_and_terminations_survive_the_wire_format() {
+    let update = table(&["a", "b"], true).since(0).remove(0);
+    let termination = Termination {
         start: start("a", 7),
         runs: vec![(REQUEST, true), (REQUEST + 1, false)],
     };
 
-    let case = Told::try_from(bn_wire::messages::Case::from(&told));
-    let ended = End::try_from(bn_wire::messages::Ended::from(&end));
-    let broken = Told::try_from(bn_wire::messages::Case::default());
+    let case = CaseUpdate::try_from(bn_wire::messages::Case::from(&update));
+    let ended = Termination::try_from(bn_wire::messages::Ended::from(&termination));
+    let invalid = CaseUpdate::try_from(bn_wire::messages::Case::default());
 
-    expect_that!(case, ok(eq(&told)));
-    expect_that!(ended, ok(eq(&end)));
-    expect_that!(broken, err(anything()));
-    expect_that!(Case::default().standing(), eq(Standing::Free));
+    expect_that!(case, ok(eq(&update)));
+    expect_that!(ended, ok(eq(&termination)));
+    expect_that!(invalid, err(anything()));
+    expect_that!(Case::default().status(), eq(CaseStatus::Free));
 }
--- a/crates/quarantine/tests/digests.rs
+++ b/crates/quarantine/tests/digests.rs
@@ -1,10 +1,10 @@
-//! Which requests count as the same.
+//! Which requests count as equal.
 
 use bn_quarantine::{digest, to_text};
 use googletest::prelude::*;
 
 #[googletest::test]
-fn requests_differ_where_any_part_of_them_does() {
+fn requests_differ_if_any_part_of_them_does() {
     let first = digest(&[b"account", b"/path", b"body"]);
 
     let same = digest(&[b"account", b"/path", b"body"]);
@@ -12,7 +12,7 @@
         digest(&[b"another", b"/path", b"body"]),
         digest(&[b"account", b"/path/", b"body"]),
         digest(&[b"account", b"/path", b"bodies"]),
-        // The same bytes, parted elsewhere.
+        // The same bytes, split elsewhere.
         digest(&[b"account/", b"path", b"body"]),
         digest(&[b"account", b"/path", b"bod", b"y"]),
     ];
--- a/crates/quarantine/tests/world/mod.rs
+++ b/crates/quarantine/tests/world/mod.rs
@@ -1,7 +1,10 @@
-//! A fleet on a manual clock: gateways, coordinators and backend servers as plain values, with
-//! messages that take their time and get lost.
+//! A simulation of gateways, coordinators and backend servers on a manual clock, with messages that
+//! are delayed and lost.
 
-use bn_quarantine::{Case, Digest, End, Lost, Next, Standing, Start, Table, Told, Trials, Watch};
+use bn_quarantine::{
+    Case, CaseStatus, CaseUpdate, Digest, LossTracker, LostRun, NextStep, Start, Table,
+    Termination, Trials,
+};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::cmp::Reverse;
@@ -9,20 +12,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A backend server that ended is back after this.
-const BACK: Duration = Duration::from_millis(3_300);
-/// Between two asks of a gateway for news.
-const ASK: Duration = Duration::from_millis(270);
-/// How long a coordinator that was stopped stays away.
-const AWAY: Duration = Duration::from_millis(900);
+/// Time after which a terminated backend server runs again.
+const RESTART_TIME: Duration = Duration::from_millis(3_300);
+/// Interval between two polls of a gateway for updates.
+const POLL_INTERVAL: Duration = Duration::from_millis(270);
+/// How long a stopped coordinator stays absent.
+const ABSENCE: Duration = Duration::from_millis(900);
 
-/// The sizes and habits of a fleet.
+/// The sizes of a fleet, and its message loss.
 #[derive(Debug, Clone)]
 pub(crate) struct Setup {
     pub(crate) gateways: usize,
     pub(crate) coordinators: usize,
     pub(crate) servers: usize,
-    /// Messages lost on their way.
+    /// Fraction of messages that are lost.
     pub(crate) loss: f64,
     pub(crate) seed: u64,
 }
@@ -30,20 +33,20 @@
 #[derive(Debug, Clone)]
 enum Event {
     Arrive(usize, Digest, Duration),
-    Word(usize, Digest, Duration, bool),
-    RunOver(u64),
-    Looked(usize, Start),
-    Serve(usize),
-    Ended(usize, End),
-    Ask(usize, usize, Digest, Duration, Duration),
-    Done(usize, Digest, bool),
-    Push(usize, Told),
+    TrialReply(usize, Digest, Duration, bool),
+    RunFinished(u64),
+    ProbeRefused(usize, Start),
+    RestartServer(usize),
+    TerminationReport(usize, Termination),
+    TrialRequest(usize, usize, Digest, Duration, Duration),
+    RunReport(usize, Digest, bool),
+    Push(usize, CaseUpdate),
     Poll(usize),
     Sync(usize),
-    EndServer(usize),
+    TerminateServer(usize),
     StopCoordinators,
     StopGateways,
-    Return(usize),
+    RestartCoordinator(usize),
 }
 
 struct Server {
@@ -57,38 +60,38 @@
     server: usize,
     start: Start,
     digest: Digest,
-    alone: bool,
+    sole_trial: bool,
 }
 
 #[derive(Default)]
 struct Gateway {
     table: Table,
-    watch: Watch,
-    known: Vec<u64>,
-    /// It has heard from a coordinator since its start: before, it serves nobody.
-    settled: bool,
+    losses: LossTracker,
+    cursors: Vec<u64>,
+    /// It has heard from a coordinator since its start; it serves no requests before.
+    ready: bool,
 }
 
 #[derive(Default)]
 struct Coordinator {
     table: Table,
     trials: Trials,
-    disk: Vec<Told>,
-    away: bool,
+    disk: Vec<CaseUpdate>,
+    absent: bool,
     pushed: u64,
 }
 
-/// What the requests of a fleet met.
+/// What happened to the requests of a fleet.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct Record {
-    /// When runs of guilty requests began.
-    pub(crate) guilty_runs: Vec<Duration>,
-    /// When backend servers ended under them.
-    pub(crate) ends: Vec<Duration>,
+    /// When runs of deadly requests started.
+    pub(crate) deadly_runs: Vec<Duration>,
+    /// When backend servers terminated under them.
+    pub(crate) terminations: Vec<Duration>,
     pub(crate) ordinary: usize,
-    /// Ordinary requests that were refused for good, or told to come back.
+    /// Ordinary requests that were refused for good, or asked to retry later.
     pub(crate) ordinary_refused: usize,
-    pub(crate) ordinary_later: usize,
+    pub(crate) ordinary_deferred: usize,
     pub(crate) messages: usize,
 }
 
@@ -99,12 +102,12 @@
     rng: StdRng,
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
     events: HashMap<u64, Event>,
-    numbered: u64,
+    last_number: u64,
     gateways: Vec<Gateway>,
     coordinators: Vec<Coordinator>,
     servers: Vec<Server>,
     runs: HashMap<u64, Run>,
-    guilty: Vec<Digest>,
+    deadly: Vec<Digest>,
     leader: usize,
 }
 
@@ -116,7 +119,7 @@
             rng: StdRng::seed_from_u64(setup.seed),
             queue: BinaryHeap::new(),
             events: HashMap::new(),
-            numbered: 0,
+            last_number: 0,
             gateways: (0..setup.gateways).map(|_| Gateway::default()).collect(),
             coordinators: (0..setup.coordinators)
                 .map(|_| Coordinator::default())
@@ -125,48 +128,48 @@
                 .map(|_| Server { began: 1, up: true })
                 .collect(),
             runs: HashMap::new(),
-            guilty: Vec::new(),
+            deadly: Vec::new(),
             leader: 0,
             setup,
         };
         for gateway in 0..world.gateways.len() {
-            world.gateways[gateway].known = vec![0; world.coordinators.len()];
-            world.gateways[gateway].settled = true;
-            let first = world.draw(ASK);
-            world.at(first, Event::Poll(gateway));
+            world.gateways[gateway].cursors = vec![0; world.coordinators.len()];
+            world.gateways[gateway].ready = true;
+            let first = world.draw(POLL_INTERVAL);
+            world.schedule(first, Event::Poll(gateway));
         }
         for coordinator in 0..world.coordinators.len() {
-            world.at(Duration::from_millis(500), Event::Sync(coordinator));
+            world.schedule(Duration::from_millis(500), Event::Sync(coordinator));
         }
         world
     }
 
-    /// Such a request ends each backend server that runs it.
-    pub(crate) fn make_guilty(&mut self, digest: Digest) {
-        self.guilty.push(digest);
+    /// Makes a request terminate each backend server that runs it.
+    pub(crate) fn make_deadly(&mut self, digest: Digest) {
+        self.deadly.push(digest);
     }
 
-    /// A request arrives at some gateway at that time, and takes `work`.
+    /// A request arrives at some gateway at the time `at`, and takes `work`.
     pub(crate) fn arrive(&mut self, at: Duration, digest: Digest, work: Duration) {
         let gateway = self.rng.random_range(0..self.gateways.len());
-        self.at(at, Event::Arrive(gateway, digest, work));
+        self.schedule(at, Event::Arrive(gateway, digest, work));
     }
 
-    /// Some backend servers end at once, for reasons of their own.
-    pub(crate) fn end_servers(&mut self, at: Duration, count: usize) {
+    /// Some backend servers terminate at once, whatever they run.
+    pub(crate) fn terminate_servers(&mut self, at: Duration, count: usize) {
         let first = self.rng.random_range(0..self.servers.len());
         for n in 0..count {
             let server = (first + n) % self.servers.len();
-            self.at(at, Event::EndServer(server));
+            self.schedule(at, Event::TerminateServer(server));
         }
     }
 
     pub(crate) fn stop_coordinators(&mut self, at: Duration) {
-        self.at(at, Event::StopCoordinators);
+        self.schedule(at, Event::StopCoordinators);
     }
 
     pub(crate) fn stop_gateways(&mut self, at: Duration) {
-        self.at(at, Event::StopGateways);
+        self.schedule(at, Event::StopGateways);
     }
 
     pub(crate) fn run(&mut self, until: Duration) {
@@ -176,105 +179,111 @@
             }
             self.now = at;
             if let Some(event) = self.events.remove(&number) {
-                self.take(event);
+                self.handle(event);
             }
         }
     }
 
-    fn at(&mut self, at: Duration, event: Event) {
-        self.numbered += 1;
-        self.events.insert(self.numbered, event);
-        self.queue.push(Reverse((at, self.numbered)));
+    fn schedule(&mut self, at: Duration, event: Event) {
+        self.last_number += 1;
+        self.events.insert(self.last_number, event);
+        self.queue.push(Reverse((at, self.last_number)));
     }
 
-    fn after(&mut self, time: Duration, event: Event) {
-        self.at(self.now + time, event);
+    fn schedule_after(&mut self, time: Duration, event: Event) {
+        self.schedule(self.now + time, event);
     }
 
-    fn draw(&mut self, most: Duration) -> Duration {
-        most.mul_f64(self.rng.random())
+    fn draw(&mut self, max: Duration) -> Duration {
+        max.mul_f64(self.rng.random())
     }
 
-    /// A message: some milliseconds on its way, where it isn't lost.
+    /// Sends a message, which takes some milliseconds unless it is lost.
     fn send(&mut self, event: Event) {
         self.record.messages += 1;
         if self.rng.random::<f64>() >= self.setup.loss {
-            let way = Duration::from_millis(1) + self.draw(Duration::from_millis(20));
-            self.after(way, event);
+            let delay = Duration::from_millis(1) + self.draw(Duration::from_millis(20));
+            self.schedule_after(delay, event);
         }
     }
 
-    fn is_guilty(&self, digest: Digest) -> bool {
-        self.guilty.contains(&digest)
+    fn is_deadly(&self, digest: Digest) -> bool {
+        self.deadly.contains(&digest)
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive(gateway, digest, work) => self.on_arrival(gateway, digest, work),
-            Event::Word(gateway, digest, work, granted) => match granted {
-                true => self.begin(gateway, digest, work, true),
-                false => self.later(digest),
+            Event::TrialReply(gateway, digest, work, granted) => match granted {
+                true => self.start_run(gateway, digest, work, true),
+                false => self.defer(digest),
             },
-            Event::RunOver(run) => self.on_run_over(run),
-            Event::Looked(gateway, start) => self.on_looked(gateway, &start),
-            Event::Serve(server) => {
+            Event::RunFinished(run) => self.on_run_finished(run),
+            Event::ProbeRefused(gateway, start) => self.on_probe_refused(gateway, &start),
+            Event::RestartServer(server) => {
                 let server = &mut self.servers[server];
                 (server.up, server.began) = (true, server.began + 1);
             }
-            Event::Ended(to, end) => self.on_ended(to, &end),
-            Event::Ask(to, gateway, digest, time, work) => {
-                self.on_ask(to, gateway, digest, time, work);
+            Event::TerminationReport(to, termination) => self.on_termination(to, &termination),
+            Event::TrialRequest(to, gateway, digest, time, work) => {
+                self.on_trial_request(to, gateway, digest, time, work);
             }
-            Event::Done(to, digest, whole) => self.on_done(to, digest, whole),
-            Event::Push(gateway, told) => {
-                self.gateways[gateway].table.merge(self.now, &told);
+            Event::RunReport(to, digest, complete) => self.on_run_report(to, digest, complete),
+            Event::Push(gateway, update) => {
+                self.gateways[gateway].table.merge(self.now, &update);
             }
             Event::Poll(gateway) => self.on_poll(gateway),
             Event::Sync(coordinator) => self.on_sync(coordinator),
-            Event::EndServer(server) => self.end_server(server),
-            Event::StopCoordinators => self.on_stop(),
+            Event::TerminateServer(server) => self.terminate_server(server),
+            Event::StopCoordinators => self.on_coordinators_stop(),
             Event::StopGateways => {
                 for gateway in &mut self.gateways {
                     *gateway = Gateway {
-                        known: vec![0; gateway.known.len()],
+                        cursors: vec![0; gateway.cursors.len()],
                         ..Gateway::default()
                     };
                 }
                 self.runs.clear();
             }
-            Event::Return(coordinator) => self.coordinators[coordinator].away = false,
+            Event::RestartCoordinator(coordinator) => self.coordinators[coordinator].absent = false,
         }
     }
 
     fn on_arrival(&mut self, gateway: usize, digest: Digest, work: Duration) {
-        if !self.gateways[gateway].settled {
+        if !self.gateways[gateway].ready {
             return;
         }
-        if !self.is_guilty(digest) {
+        if !self.is_deadly(digest) {
             self.record.ordinary += 1;
         }
-        match self.gateways[gateway].table.standing(digest) {
-            Standing::Free => self.begin(gateway, digest, work, false),
-            Standing::Refused => {
-                if !self.is_guilty(digest) {
+        match self.gateways[gateway].table.status(digest) {
+            CaseStatus::Free => self.start_run(gateway, digest, work, false),
+            CaseStatus::Refused => {
+                if !self.is_deadly(digest) {
                     self.record.ordinary_refused += 1;
                 }
             }
-            Standing::Suspect if self.coordinators[self.leader].away => self.later(digest),
-            Standing::Suspect => {
+            CaseStatus::Suspect if self.coordinators[self.leader].absent => self.defer(digest),
+            CaseStatus::Suspect => {
                 let time = work + Duration::from_secs(1);
-                self.send(Event::Ask(self.leader, gateway, digest, time, work));
+                self.send(Event::TrialRequest(
+                    self.leader,
+                    gateway,
+                    digest,
+                    time,
+                    work,
+                ));
             }
         }
     }
 
-    fn later(&mut self, digest: Digest) {
-        if !self.is_guilty(digest) {
-            self.record.ordinary_later += 1;
+    fn defer(&mut self, digest: Digest) {
+        if !self.is_deadly(digest) {
+            self.record.ordinary_deferred += 1;
         }
     }
 
-    fn begin(&mut self, gateway: usize, digest: Digest, work: Duration, alone: bool) {
+    fn start_run(&mut self, gateway: usize, digest: Digest, work: Duration, sole_trial: bool) {
         let up: Vec<usize> = (0..self.servers.len())
             .filter(|s| self.servers[*s].up)
             .collect();
@@ -288,16 +297,16 @@
             server,
             start,
             digest,
-            alone,
+            sole_trial,
         };
-        self.numbered += 1;
-        let number = self.numbered;
+        self.last_number += 1;
+        let number = self.last_number;
         self.runs.insert(number, run);
-        if self.is_guilty(digest) {
-            self.record.guilty_runs.push(self.now);
-            self.after(Duration::from_millis(100), Event::EndServer(server));
+        if self.is_deadly(digest) {
+            self.record.deadly_runs.push(self.now);
+            self.schedule_after(Duration::from_millis(100), Event::TerminateServer(server));
         } else {
-            self.after(work, Event::RunOver(number));
+            self.schedule_after(work, Event::RunFinished(number));
         }
     }
 
@@ -308,37 +317,37 @@
         }
     }
 
-    fn on_run_over(&mut self, number: u64) {
+    fn on_run_finished(&mut self, number: u64) {
         let Some(run) = self.runs.remove(&number) else {
             return;
         };
         let table = &self.gateways[run.gateway].table;
         if table.is_open(run.digest) {
-            self.tell_done(run.digest, true);
+            self.report_finished(run.digest, true);
         }
     }
 
-    fn tell_done(&mut self, digest: Digest, whole: bool) {
+    fn report_finished(&mut self, digest: Digest, complete: bool) {
         for to in 0..self.coordinators.len() {
-            self.send(Event::Done(to, digest, whole));
+            self.send(Event::RunReport(to, digest, complete));
         }
     }
 
-    fn end_server(&mut self, server: usize) {
+    fn terminate_server(&mut self, server: usize) {
         if !self.servers[server].up {
             return;
         }
         self.servers[server].up = false;
-        self.after(BACK, Event::Serve(server));
+        self.schedule_after(RESTART_TIME, Event::RestartServer(server));
         let lost: Vec<u64> = {
-            let there = self.runs.iter().filter(|(_, r)| r.server == server);
-            let mut numbers: Vec<u64> = there.map(|(n, _)| *n).collect();
+            let runs = self.runs.iter().filter(|(_, r)| r.server == server);
+            let mut numbers: Vec<u64> = runs.map(|(n, _)| *n).collect();
             numbers.sort_unstable();
             numbers
         };
         let lost: Vec<Run> = lost.iter().filter_map(|n| self.runs.remove(n)).collect();
-        if lost.iter().any(|r| self.is_guilty(r.digest)) {
-            self.record.ends.push(self.now);
+        if lost.iter().any(|r| self.is_deadly(r.digest)) {
+            self.record.terminations.push(self.now);
         }
         for run in lost {
             self.on_lost(&run);
@@ -346,68 +355,70 @@
     }
 
     fn on_lost(&mut self, run: &Run) {
-        let lost = Lost {
+        let lost = LostRun {
             digest: run.digest,
-            alone: run.alone,
-            given_up: false,
+            sole_trial: run.sole_trial,
+            abandoned: false,
         };
         let address = SocketAddr::from(([127, 0, 0, 1], run.server as u16 + 1));
-        let watch = &mut self.gateways[run.gateway].watch;
-        match watch.lost(self.now, &run.start, address, lost) {
-            Next::Wait => {}
-            Next::Look => {
-                let way = Duration::from_millis(2) + self.draw(Duration::from_millis(10));
-                self.after(way, Event::Looked(run.gateway, run.start.clone()));
+        let losses = &mut self.gateways[run.gateway].losses;
+        match losses.on_lost(self.now, &run.start, address, lost) {
+            NextStep::Wait => {}
+            NextStep::Probe => {
+                let delay = Duration::from_millis(2) + self.draw(Duration::from_millis(10));
+                self.schedule_after(delay, Event::ProbeRefused(run.gateway, run.start.clone()));
             }
-            Next::Tell(end) => self.tell_end(&end),
+            NextStep::Report(termination) => self.report_termination(&termination),
         }
-        if run.alone {
-            self.tell_done(run.digest, false);
+        if run.sole_trial {
+            self.report_finished(run.digest, false);
         }
     }
 
-    fn on_looked(&mut self, gateway: usize, start: &Start) {
-        let end = self.gateways[gateway].watch.ended(self.now, start);
-        if let Some(end) = end {
-            self.tell_end(&end);
+    fn on_probe_refused(&mut self, gateway: usize, start: &Start) {
+        let losses = &mut self.gateways[gateway].losses;
+        if let Some(termination) = losses.on_terminated(self.now, start) {
+            self.report_termination(&termination);
         }
     }
 
-    fn tell_end(&mut self, end: &End) {
+    fn report_termination(&mut self, termination: &Termination) {
         for to in 0..self.coordinators.len() {
-            self.send(Event::Ended(to, end.clone()));
+            self.send(Event::TerminationReport(to, termination.clone()));
         }
     }
 
-    fn on_ended(&mut self, to: usize, end: &End) {
+    fn on_termination(&mut self, to: usize, termination: &Termination) {
         let now = self.now;
         let coordinator = &mut self.coordinators[to];
-        if coordinator.away {
+        if coordinator.absent {
             return;
         }
-        for (digest, alone) in &end.runs {
-            coordinator.table.ended(now, *digest, &end.start, *alone);
+        for (digest, sole_trial) in &termination.runs {
+            let start = &termination.start;
+            let table = &mut coordinator.table;
+            table.add_termination(now, *digest, start, *sole_trial);
         }
-        self.settle(to);
+        self.publish(to);
     }
 
-    /// Writes what is refused, and pushes what gateways act on to those that are its own to tell.
-    fn settle(&mut self, to: usize) {
+    /// Stores a coordinator's refusals, and pushes the changes that matter to its own gateways.
+    fn publish(&mut self, to: usize) {
         let coordinator = &mut self.coordinators[to];
         coordinator.disk = coordinator.table.refused();
-        let acted_on = |c: &Case| c.standing() != Standing::Free || c.round > 0;
-        let mut told = coordinator.table.since(coordinator.pushed);
-        coordinator.pushed = coordinator.table.turn();
-        told.retain(|t| acted_on(&t.case));
+        let acted_on = |c: &Case| c.status() != CaseStatus::Free || c.round > 0;
+        let mut updates = coordinator.table.since(coordinator.pushed);
+        coordinator.pushed = coordinator.table.cursor();
+        updates.retain(|u| acted_on(&u.case));
         let own = (0..self.gateways.len()).filter(|g| g % self.setup.coordinators == to);
         for gateway in own.collect::<Vec<_>>() {
-            for told in &told {
-                self.send(Event::Push(gateway, told.clone()));
+            for update in &updates {
+                self.send(Event::Push(gateway, update.clone()));
             }
         }
     }
 
-    fn on_ask(
+    fn on_trial_request(
         &mut self,
         to: usize,
         gateway: usize,
@@ -417,77 +428,77 @@
     ) {
         let now = self.now;
         let coordinator = &mut self.coordinators[to];
-        if coordinator.away || to != self.leader {
+        if coordinator.absent || to != self.leader {
             return;
         }
-        let refused = coordinator.table.standing(digest) == Standing::Refused;
+        let refused = coordinator.table.status(digest) == CaseStatus::Refused;
         let granted = !refused && coordinator.trials.grant(now, digest, time);
-        self.send(Event::Word(gateway, digest, work, granted));
+        self.send(Event::TrialReply(gateway, digest, work, granted));
     }
 
-    fn on_done(&mut self, to: usize, digest: Digest, whole: bool) {
+    fn on_run_report(&mut self, to: usize, digest: Digest, complete: bool) {
         let now = self.now;
         let coordinator = &mut self.coordinators[to];
-        if coordinator.away {
+        if coordinator.absent {
             return;
         }
-        coordinator.trials.done(now, digest, whole);
-        if whole && coordinator.table.close(now, digest) {
-            self.settle(to);
+        coordinator.trials.finish(now, digest, complete);
+        if complete && coordinator.table.close(now, digest) {
+            self.publish(to);
         }
     }
 
     fn on_poll(&mut self, gateway: usize) {
-        self.after(ASK, Event::Poll(gateway));
+        self.schedule_after(POLL_INTERVAL, Event::Poll(gateway));
         let to = self.rng.random_range(0..self.coordinators.len());
-        if self.coordinators[to].away {
+        if self.coordinators[to].absent {
             return;
         }
-        let known = self.gateways[gateway].known[to];
+        let known = self.gateways[gateway].cursors[to];
         let table = &self.coordinators[to].table;
-        let (told, turn) = (table.since(known), table.turn());
-        // Another start counts anew.
-        let told = if turn < known { table.since(0) } else { told };
-        self.gateways[gateway].known[to] = turn;
-        self.gateways[gateway].settled = true;
-        for told in told {
-            self.gateways[gateway].table.merge(self.now, &told);
+        let (new, cursor) = (table.since(known), table.cursor());
+        // The cursor restarts from zero with the coordinator.
+        let updates = if cursor < known { table.since(0) } else { new };
+        self.gateways[gateway].cursors[to] = cursor;
+        self.gateways[gateway].ready = true;
+        for update in updates {
+            self.gateways[gateway].table.merge(self.now, &update);
         }
     }
 
     fn on_sync(&mut self, to: usize) {
-        self.after(Duration::from_millis(500), Event::Sync(to));
-        let told: Vec<Told> = self
+        self.schedule_after(Duration::from_millis(500), Event::Sync(to));
+        let updates: Vec<CaseUpdate> = self
             .coordinators
             .iter()
             .flat_map(|c| c.table.since(0))
             .collect();
         let coordinator = &mut self.coordinators[to];
-        if coordinator.away {
+        if coordinator.absent {
             return;
         }
-        for told in &told {
-            coordinator.table.merge(self.now, told);
+        for update in &updates {
+            coordinator.table.merge(self.now, update);
         }
-        self.settle(to);
+        self.publish(to);
     }
 
-    /// All coordinators stop and come back with what is on their disks; another one leads.
-    fn on_stop(&mut self) {
+    /// All coordinators restart with what is on their disks; another one becomes the leader.
+    fn on_coordinators_stop(&mut self) {
         for coordinator in &mut self.coordinators {
             let disk = std::mem::take(&mut coordinator.disk);
             *coordinator = Coordinator {
-                away: true,
+                absent: true,
                 ..Coordinator::default()
             };
-            for told in &disk {
-                coordinator.table.merge(self.now, told);
+            for update in &disk {
+                coordinator.table.merge(self.now, update);
             }
             coordinator.disk = disk;
         }
         self.leader = (self.leader + 1) % self.coordinators.len();
         for coordinator in 0..self.coordinators.len() {
-            self.after(AWAY, Event::Return(coordinator));
+            self.schedule_after(ABSENCE, Event::RestartCoordinator(coordinator));
         }
     }
 }
