--- a/crates/claim/src/gate.rs
+++ b/crates/claim/src/gate.rs
@@ -1,67 +1,67 @@
-//! The gate before a backend server: what may start, decided by this agent alone.
+//! Admission of requests to a backend server, decided by its agent alone.
 
 use std::collections::{HashSet, VecDeque};
 use std::time::Duration;
 
-/// Refusal for want of room.
+/// Reason of a refusal: the capacity is used up.
 pub const FULL: &str = "full";
-/// Attempts remembered, so that a second arrival or an early cancel is known.
-const REMEMBERED: usize = 8192;
-/// Requests taken over the capacity; the engine queues them.
-const ROOM: f64 = 1.5;
+/// Number of attempts remembered, to detect a second arrival or a cancel that arrives first.
+const MAX_KNOWN: usize = 8192;
+/// Requests admitted, as a multiple of the capacity; the engine queues the excess.
+const OVERCOMMIT: f64 = 1.5;
 
-/// A request at an agent: incarnation of the entry, and its attempt.
+/// Key of a request at an agent: incarnation of the entry, and its attempt.
 pub type RunKey = (u64, u64);
 
-/// What the agent knows about starting work.
+/// State by which the agent admits requests.
 #[derive(Debug, Default)]
 pub struct Gate {
-    /// This agent stops.
+    /// This agent is stopping.
     pub leaving: bool,
-    /// The backend server wants no new work.
+    /// The backend server accepts no new work.
     pub backend_leaving: bool,
-    /// An operator's drain holds.
+    /// An operator's drain is in force.
     pub drained: bool,
-    /// Highest fencing number seen.
+    /// Highest fencing token seen.
     pub fence: u64,
-    /// Requests that the backend server runs at once.
+    /// Number of requests that the backend server runs at once.
     pub capacity: u32,
-    until: Duration,
+    lease_end: Duration,
     revision: u64,
     known: HashSet<RunKey>,
-    order: VecDeque<RunKey>,
+    insertion_order: VecDeque<RunKey>,
 }
 
 impl Gate {
-    /// Takes a lease. One of an older leader or revision changes nothing: several
-    /// entries answer, and the one that lags must not undo a drain.
-    pub fn lease(&mut self, until: Duration, fence: u64, revision: u64, drained: bool) {
+    /// Renews the lease. One of an older leader or revision changes nothing: several entries
+    /// answer, and one that lags must not undo a drain.
+    pub fn renew_lease(&mut self, until: Duration, fence: u64, revision: u64, drained: bool) {
         if fence < self.fence {
             return;
         }
         self.fence = fence;
-        self.until = self.until.max(until);
+        self.lease_end = self.lease_end.max(until);
         if revision >= self.revision {
             (self.revision, self.drained) = (revision, drained);
         }
     }
 
-    /// It may act on the settled configuration.
-    pub fn leased(&self, now: Duration) -> bool {
-        now < self.until
+    /// Holds a lease, and so may act on the settled configuration.
+    pub fn has_lease(&self, now: Duration) -> bool {
+        now < self.lease_end
     }
 
-    /// No new work is taken.
-    pub fn leaves(&self) -> bool {
+    /// No new work is accepted.
+    pub fn is_leaving(&self) -> bool {
         self.leaving || self.backend_leaving || self.drained
     }
 
-    /// Notes that an attempt must not start any more.
+    /// Records that an attempt must no longer start.
     pub fn cancel(&mut self, key: RunKey) {
         self.remember(key);
     }
 
-    /// Why an attempt must not start, if so; otherwise it is noted as started.
+    /// Admits an attempt and records it as started, or returns why it must not start.
     pub fn refusal(
         &mut self,
         now: Duration,
@@ -69,14 +69,14 @@
         not_after: Duration,
         running: usize,
     ) -> Option<&'static str> {
-        let room = f64::from(self.capacity) * ROOM;
+        let max_running = f64::from(self.capacity) * OVERCOMMIT;
         let reason = match () {
-            () if self.leaves() => Some("leaving"),
-            () if !self.leased(now) => Some("no lease"),
-            // It was told off or given up meanwhile: running it now would make a
-            // not-run untrue.
+            () if self.is_leaving() => Some("leaving"),
+            () if !self.has_lease(now) => Some("no lease"),
+            // It may have been refused or abandoned in the meantime: running it now would
+            // contradict a not-run verdict.
             () if now > not_after => Some("too late to start"),
-            () if running as f64 >= room => Some(FULL),
+            () if running as f64 >= max_running => Some(FULL),
             () if self.known.contains(&key) => Some("known already"),
             () => None,
         };
@@ -88,10 +88,10 @@
 
     fn remember(&mut self, key: RunKey) {
         if self.known.insert(key) {
-            self.order.push_back(key);
+            self.insertion_order.push_back(key);
         }
-        if self.order.len() > REMEMBERED
-            && let Some(old) = self.order.pop_front()
+        if self.insertion_order.len() > MAX_KNOWN
+            && let Some(old) = self.insertion_order.pop_front()
         {
             self.known.remove(&old);
         }
--- a/crates/claim/src/holder.rs
+++ b/crates/claim/src/holder.rs
@@ -1,56 +1,56 @@
-//! One holder's claims.
+//! The claims of one holder.
 
 use crate::pending::ChainId;
 use crate::{Epoch, Key};
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// Wall clocks of instances differ by less than this.
+/// Upper bound of the difference between the wall clocks of instances.
 pub(crate) const CLOCK_BOUND: Duration = Duration::from_secs(2);
-/// A claim is kept this long; older keys are refused.
-const KEPT: Duration = Duration::from_secs(600);
+/// How long a claim is kept; older keys are refused.
+const RETENTION: Duration = Duration::from_secs(600);
 
-/// What a holder says to a claim.
+/// A holder's answer to a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Answer {
-    /// The chain holds the key here.
+    /// The chain holds the key at this holder.
     Granted,
-    /// Another chain holds it.
+    /// Another chain holds the key.
     Taken,
     /// The key is older than this holder's memory.
     Forgot,
-    /// The asker counts on another set of holders.
+    /// The claimant uses another set of holders.
     Stale,
 }
 
 /// Claims in memory. Wall times are durations since 1970.
 #[derive(Debug)]
 pub struct Holder {
-    /// Keys minted before this were perhaps claimed and are not remembered.
-    guard: Duration,
+    /// Keys minted before this may have had claims that are no longer known.
+    cutoff: Duration,
     epoch: Epoch,
     claims: HashMap<Key, ChainId>,
-    order: VecDeque<(Duration, Key)>,
+    insertion_order: VecDeque<(Duration, Key)>,
 }
 
 impl Holder {
-    /// A holder that starts at wall time `start` and knows nothing before it.
+    /// A holder that starts at wall time `start` without earlier claims.
     pub fn new(start: Duration) -> Holder {
-        let guard = start + CLOCK_BOUND;
+        let cutoff = start + CLOCK_BOUND;
         Holder {
-            guard,
+            cutoff,
             epoch: 0,
             claims: HashMap::new(),
-            order: VecDeque::new(),
+            insertion_order: VecDeque::new(),
         }
     }
 
-    /// The set of holders changed: a key may have been claimed at holders that this
-    /// set no longer asks, so only keys minted from now on can be judged.
+    /// The set of holders changed: a key may have been claimed at holders that are no longer
+    /// in the set, so only keys minted from now on can be granted.
     pub fn new_epoch(&mut self, wall: Duration, epoch: Epoch) {
         if epoch > self.epoch {
             if self.epoch > 0 {
-                self.guard = self.guard.max(wall + CLOCK_BOUND);
+                self.cutoff = self.cutoff.max(wall + CLOCK_BOUND);
             }
             self.epoch = epoch;
         }
@@ -69,18 +69,18 @@
             return Answer::Stale;
         }
         match self.claims.get(key) {
-            Some(holder) if *holder == chain => return Answer::Granted,
+            Some(owner) if *owner == chain => return Answer::Granted,
             Some(_) => return Answer::Taken,
-            None if minted < self.guard => return Answer::Forgot,
+            None if minted < self.cutoff => return Answer::Forgot,
             None => {}
         }
         self.claims.insert(key.into(), chain);
-        self.order.push_back((minted, key.into()));
-        self.drop_old(wall);
+        self.insertion_order.push_back((minted, key.into()));
+        self.drop_expired(wall);
         Answer::Granted
     }
 
-    /// Claims held.
+    /// Number of claims held.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
@@ -90,17 +90,17 @@
         self.claims.is_empty()
     }
 
-    /// Drops old claims, and moves the guard past them first: a key whose claim is
+    /// Drops expired claims, and moves the cutoff past them first: a key whose claim is
     /// dropped must never look unclaimed.
-    fn drop_old(&mut self, wall: Duration) {
-        let oldest = wall.saturating_sub(KEPT);
+    fn drop_expired(&mut self, wall: Duration) {
+        let oldest = wall.saturating_sub(RETENTION);
         while self
-            .order
+            .insertion_order
             .front()
             .is_some_and(|(minted, _)| *minted < oldest)
         {
-            self.guard = self.guard.max(oldest);
-            if let Some((_, key)) = self.order.pop_front() {
+            self.cutoff = self.cutoff.max(oldest);
+            if let Some((_, key)) = self.insertion_order.pop_front() {
                 self.claims.remove(&key);
             }
         }
--- a/crates/claim/src/holders.rs
+++ b/crates/claim/src/holders.rs
@@ -1,15 +1,15 @@
-//! Which entries hold the claim of a key.
+//! Selects the entries that hold the claim of a key.
 
 use sha2::{Digest, Sha256};
 use std::time::Duration;
 
-/// Holders a key has.
+/// Number of holders per key.
 pub const HOLDERS: usize = 3;
 
-/// `count` of the entries `(id, failure domain)` for `key`: by rendezvous hashing, so
+/// Selects `count` of the entries `(id, failure domain)` for `key`: by rendezvous hashing, so
 /// that a change of one entry moves few keys, and in different failure domains as far
-/// as there are so many.
-pub fn choose<'a>(
+/// as there are enough.
+pub fn rendezvous<'a>(
     key: &str,
     count: usize,
     entries: impl Iterator<Item = (&'a str, &'a str)>,
@@ -19,11 +19,11 @@
         .collect();
     ranked.sort_unstable_by(|a, b| b.cmp(a));
     let mut chosen: Vec<(&str, &str)> = Vec::new();
-    for fresh_only in [true, false] {
+    for new_domain_only in [true, false] {
         for (_, id, domain) in &ranked {
-            let fresh = !chosen.iter().any(|(_, d)| d == domain);
+            let new_domain = !chosen.iter().any(|(_, d)| d == domain);
             let new = !chosen.iter().any(|(i, _)| i == id);
-            if chosen.len() < count && new && (fresh || !fresh_only) {
+            if chosen.len() < count && new && (new_domain || !new_domain_only) {
                 chosen.push((id, domain));
             }
         }
@@ -31,8 +31,8 @@
     chosen.into_iter().map(|(id, _)| id).collect()
 }
 
-/// When a key was minted, as wall time; `None` where it is no UUIDv7.
-pub fn minted(key: &str) -> Option<Duration> {
+/// Wall time at which a key was minted; `None` unless it is a UUIDv7.
+pub fn mint_time(key: &str) -> Option<Duration> {
     let id = uuid::Uuid::parse_str(key).ok()?;
     if id.get_version_num() != 7 {
         return None;
--- a/crates/claim/src/lib.rs
+++ b/crates/claim/src/lib.rs
@@ -1,7 +1,7 @@
-//! At most once: a request that may not be repeated claims its idempotency key at a
-//! majority of three holders before it is dispatched. Holders keep claims in memory
-//! only, and refuse what they cannot know about. The gate before a backend server keeps
-//! late and repeated dispatches from starting. Pure decisions.
+//! At-most-once execution: a request that must not be repeated claims its idempotency key at a
+//! majority of three holders before it is dispatched. Holders keep claims in memory only, and
+//! refuse keys whose earlier claims they may not know. The gate of a backend server rejects late
+//! and repeated dispatches. Pure decision logic.
 
 mod gate;
 mod holder;
@@ -10,10 +10,10 @@
 
 pub use gate::{FULL, Gate, RunKey};
 pub use holder::{Answer, Holder};
-pub use holders::{HOLDERS, choose, minted};
-pub use pending::{Chain, ChainId, Outcome};
+pub use holders::{HOLDERS, mint_time, rendezvous};
+pub use pending::{ChainId, Outcome, PendingClaim};
 
-/// An idempotency key, with its account before it.
+/// An idempotency key, prefixed with its account.
 pub type Key = String;
 /// Revision of the set of holders.
 pub type Epoch = u64;
--- a/crates/claim/src/pending.rs
+++ b/crates/claim/src/pending.rs
@@ -1,62 +1,62 @@
-//! The asker's side: counting the holders' answers.
+//! The claimant's side: counts the holders' answers.
 
 use crate::holder::Answer;
 use crate::holders::HOLDERS;
 
-/// One chain of attempts of one entry: its incarnation and its own number.
+/// A chain of attempts of one entry: the entry's incarnation, and its own number for the chain.
 pub type ChainId = (u64, u64);
 
-/// What the answers so far decide.
+/// Outcome of a claim by the answers so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Not decided.
-    Open,
+    /// Not decided yet.
+    Undecided,
     /// A majority granted: this chain alone may dispatch.
     Won,
-    /// Another chain holds the key, or holders that forgot keep a majority from
-    /// forming. The request may have run, through another chain.
+    /// Another chain holds the key, or no majority is possible because holders forgot it.
+    /// The request may have run, through another chain.
     Lost,
 }
 
-/// A claim under way.
+/// A claim that waits for answers.
 #[derive(Debug, Clone)]
-pub struct Chain {
+pub struct PendingClaim {
     holders: Vec<(String, Option<Answer>)>,
 }
 
-impl Chain {
+impl PendingClaim {
     /// A claim at these holders.
-    pub fn new(holders: Vec<String>) -> Chain {
-        Chain {
+    pub fn new(holders: Vec<String>) -> PendingClaim {
+        PendingClaim {
             holders: holders.into_iter().map(|h| (h, None)).collect(),
         }
     }
 
     /// Holders that have not answered.
-    pub fn open(&self) -> impl Iterator<Item = &str> {
+    pub fn unanswered(&self) -> impl Iterator<Item = &str> {
         self.holders
             .iter()
             .filter(|(_, a)| a.is_none())
             .map(|(h, _)| h.as_str())
     }
 
-    /// Takes an answer. A repeated one changes nothing.
-    pub fn answer(&mut self, holder: &str, answer: Answer) -> Outcome {
+    /// Records an answer. A repeated one changes nothing.
+    pub fn record(&mut self, holder: &str, answer: Answer) -> Outcome {
         if let Some((_, slot)) = self.holders.iter_mut().find(|(h, _)| h == holder) {
             slot.get_or_insert(answer);
         }
         self.outcome()
     }
 
-    /// What is decided.
+    /// The outcome so far.
     pub fn outcome(&self) -> Outcome {
         let majority = self.majority();
         let granted = self.count(|a| a == Some(Answer::Granted));
-        let open = self.count(|a| a.is_none());
+        let unanswered = self.count(|a| a.is_none());
         match () {
             () if granted >= majority => Outcome::Won,
-            () if granted + open < majority => Outcome::Lost,
-            () => Outcome::Open,
+            () if granted + unanswered < majority => Outcome::Lost,
+            () => Outcome::Undecided,
         }
     }
 
@@ -64,7 +64,7 @@
         self.holders.len().min(HOLDERS) / 2 + 1
     }
 
-    fn count(&self, fits: impl Fn(Option<Answer>) -> bool) -> usize {
-        self.holders.iter().filter(|(_, a)| fits(*a)).count()
+    fn count(&self, matches: impl Fn(Option<Answer>) -> bool) -> usize {
+        self.holders.iter().filter(|(_, a)| matches(*a)).count()
     }
 }
--- a/crates/claim/tests/claims.rs
+++ b/crates/claim/tests/claims.rs
@@ -1,8 +1,8 @@
-//! At most once: holders, chains, and what restarts and changes may not break.
+//! At-most-once execution: holders and chains under restarts and changes of the set of holders.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
-use bn_claim::{Answer, Chain, ChainId, Holder, Outcome, choose, minted};
+use bn_claim::{Answer, ChainId, Holder, Outcome, PendingClaim, mint_time, rendezvous};
 use googletest::prelude::*;
 use std::time::Duration;
 
@@ -14,25 +14,25 @@
     Duration::from_secs(s)
 }
 
-/// A holder that started long ago, in epoch 1.
+/// A holder in epoch 1 that started long ago.
 fn holder() -> Holder {
     let mut holder = Holder::new(secs(1000));
     holder.new_epoch(secs(1000), 1);
     holder
 }
 
-/// Asks all holders in turn for one chain.
+/// Claims the key for one chain at all holders, one after the other.
 fn claim(holders: &mut [Holder], now: u64, minted: u64, chain: ChainId) -> Outcome {
     let names: Vec<String> = (0..holders.len()).map(|i| format!("h{i}")).collect();
-    let mut asked = Chain::new(names.clone());
+    let mut pending = PendingClaim::new(names.clone());
     for (name, holder) in names.iter().zip(holders) {
-        asked.answer(name, holder.claim(secs(now), KEY, secs(minted), chain, 1));
+        pending.record(name, holder.claim(secs(now), KEY, secs(minted), chain, 1));
     }
-    asked.outcome()
+    pending.outcome()
 }
 
 #[gtest]
-fn one_chain_wins_and_may_ask_again() {
+fn one_chain_wins_and_may_repeat_its_claim() {
     let mut holders = [holder(), holder(), holder()];
 
     let first = claim(&mut holders, 2000, 1999, A);
@@ -45,14 +45,14 @@
     );
 }
 
-/// In which order three holders hear of two chains; at most one may win.
-const ORDERS: [[ChainId; 3]; 4] = [[A, A, A], [A, A, B], [A, B, A], [B, A, A]];
+/// The chain whose claim each of three holders receives first; at most one chain may win.
+const FIRST_CHAINS: [[ChainId; 3]; 4] = [[A, A, A], [A, A, B], [A, B, A], [B, A, A]];
 
-/// Symptom: a duplicate sent to two entries at once runs twice. Sequence: the holders
-/// hear of the two chains in different orders. Cause: one grant is taken for enough.
+/// Failure: a duplicate sent to two entries at once runs twice. The holders receive the claims
+/// of the two chains in different orders. Cause: one grant is taken for a majority.
 #[gtest]
-fn of_two_chains_at_once_one_wins() {
-    for first in ORDERS {
+fn one_of_two_concurrent_chains_wins() {
+    for first in FIRST_CHAINS {
         let mut holders = [holder(), holder(), holder()];
         for (holder, chain) in holders.iter_mut().zip(first) {
             holder.claim(secs(2000), KEY, secs(1999), chain, 1);
@@ -64,12 +64,12 @@
     }
 }
 
-/// Which holders restarted between two chains, and whether the second may win: never.
+/// Which holders restart between two chains; the second chain must never win.
 const RESTARTS: [&[usize]; 7] = [&[0], &[1], &[2], &[0, 1], &[0, 2], &[1, 2], &[0, 1, 2]];
 
-/// Symptom: a billed notice runs twice. Sequence: a chain claims and dispatches;
-/// holders restart; a resend claims the same key. Cause: a restarted holder takes a
-/// forgotten key for a free one.
+/// Failure: a billed request runs twice. A chain claims and dispatches; holders restart; a
+/// resend claims the same key. Cause: a restarted holder takes a forgotten key for an
+/// unclaimed one.
 #[gtest]
 fn no_restart_of_holders_lets_a_second_chain_win() {
     for restarted in RESTARTS {
@@ -86,10 +86,10 @@
     }
 }
 
-/// Symptom and sequence as above, with a wall clock that jumps: the key's mint time
-/// lies up to the clock bound ahead of the holder's clock.
+/// The same failure with a wall clock that jumps: the key's mint time is up to the clock
+/// bound ahead of the holder's clock.
 #[gtest]
-fn a_clock_ahead_within_the_bound_does_not_open_a_forgotten_key() {
+fn a_clock_ahead_within_the_bound_does_not_free_a_forgotten_key() {
     let mut restarted = Holder::new(secs(2000));
     restarted.new_epoch(secs(2000), 1);
 
@@ -98,32 +98,32 @@
     expect_that!(answer, eq(Answer::Forgot));
 }
 
-/// Symptom: a second run after entries were added. Sequence: a chain claims at the
-/// old holders; the set changes; a resend asks the new ones. Cause: the new holders
-/// never heard of the key.
+/// Failure: a request runs a second time after entries were added. A chain claims at the old
+/// holders; the set changes; a resend claims at the new ones. Cause: the new holders never
+/// received the claim.
 #[gtest]
-fn a_new_set_of_holders_refuses_keys_from_before_it() {
-    let mut fresh = holder();
-    fresh.new_epoch(secs(2000), 2);
+fn a_new_set_of_holders_refuses_older_keys() {
+    let mut added = holder();
+    added.new_epoch(secs(2000), 2);
 
     expect_that!(
-        fresh.claim(secs(2010), KEY, secs(1999), B, 1),
+        added.claim(secs(2010), KEY, secs(1999), B, 1),
         eq(Answer::Stale)
     );
     expect_that!(
-        fresh.claim(secs(2010), KEY, secs(1999), B, 2),
+        added.claim(secs(2010), KEY, secs(1999), B, 2),
         eq(Answer::Forgot)
     );
     expect_that!(
-        fresh.claim(secs(2010), KEY, secs(2009), B, 2),
+        added.claim(secs(2010), KEY, secs(2009), B, 2),
         eq(Answer::Granted)
     );
 }
 
-/// Symptom: a resend after a long time runs again. Sequence: a claim is dropped to
-/// bound memory; the resend follows. Cause: a dropped key looks unclaimed.
+/// Failure: a resend after a long time runs again. The claim was dropped to bound memory
+/// before the resend. Cause: a dropped key looks unclaimed.
 #[gtest]
-fn a_dropped_claim_never_looks_free() {
+fn a_dropped_claim_never_looks_unclaimed() {
     let mut holder = holder();
     expect_that!(
         holder.claim(secs(2000), KEY, secs(2000), A, 1),
@@ -138,13 +138,13 @@
 }
 
 #[gtest]
-fn holders_stand_in_different_failure_domains() {
+fn holders_are_in_different_failure_domains() {
     let entries: Vec<(String, String)> = (0..6)
         .map(|i| (format!("e{i}"), format!("d{}", i % 3)))
         .collect();
     for n in 0..50 {
         let all = entries.iter().map(|(e, d)| (e.as_str(), d.as_str()));
-        let chosen = choose(&format!("key {n}"), 3, all);
+        let chosen = rendezvous(&format!("key {n}"), 3, all);
         let domains: std::collections::HashSet<_> = chosen
             .iter()
             .filter_map(|c| entries.iter().find(|(e, _)| e == c).map(|(_, d)| d))
@@ -158,8 +158,8 @@
     let v7 = uuid::Uuid::now_v7().to_string();
     let v4 = "2b1c0a52-3f0e-4d8e-9d6a-0123456789ab";
 
-    expect_true!(minted(&v7).is_some());
+    expect_true!(mint_time(&v7).is_some());
     for wrong in [v4, "", "k1"] {
-        expect_that!(minted(wrong), none(), "{wrong}");
+        expect_that!(mint_time(wrong), none(), "{wrong}");
     }
 }
--- a/crates/claim/tests/gate.rs
+++ b/crates/claim/tests/gate.rs
@@ -1,4 +1,4 @@
-//! The gate before a backend server: one table of what may start.
+//! The gate of a backend server: a table of which dispatches may start.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -14,12 +14,12 @@
 fn gate() -> Gate {
     let mut gate = Gate::default();
     gate.capacity = 2;
-    gate.lease(ms(3000), 5, 10, false);
+    gate.renew_lease(ms(3000), 5, 10, false);
     gate
 }
 
-/// What is done to the gate, then when the dispatch comes, its last start, how many
-/// run, and the refusal.
+/// Name, preparation of the gate, arrival of the dispatch, its latest start, running
+/// requests, and the refusal.
 type Case = (
     &'static str,
     fn(&mut Gate),
@@ -30,13 +30,13 @@
 );
 
 const CASES: [Case; 12] = [
-    ("nothing", |_| {}, 1000, 1500, 0, None),
-    ("at its last start", |_| {}, 1500, 1500, 0, None),
+    ("no preparation", |_| {}, 1000, 1500, 0, None),
+    ("at its latest start", |_| {}, 1500, 1500, 0, None),
     ("late", |_| {}, 1501, 1500, 0, Some("too late to start")),
-    ("lease over", |_| {}, 3000, 9000, 0, Some("no lease")),
+    ("lease expired", |_| {}, 3000, 9000, 0, Some("no lease")),
     ("full", |_| {}, 1000, 1500, 3, Some("full")),
     (
-        "agent stops",
+        "agent is stopping",
         |g| g.leaving = true,
         1000,
         1500,
@@ -44,7 +44,7 @@
         Some("leaving"),
     ),
     (
-        "backend leaves",
+        "backend is leaving",
         |g| g.backend_leaving = true,
         1000,
         1500,
@@ -53,7 +53,7 @@
     ),
     (
         "drained",
-        |g| g.lease(ms(3000), 5, 11, true),
+        |g| g.renew_lease(ms(3000), 5, 11, true),
         1000,
         1500,
         0,
@@ -75,12 +75,12 @@
         0,
         Some("known already"),
     ),
-    // An entry that lags behind must not undo a drain, nor an old leader's lease count.
+    // An entry that lags must not undo a drain, and a lease of an old leader must not count.
     (
         "a lagging entry",
         |g| {
-            g.lease(ms(3000), 5, 11, true);
-            g.lease(ms(3000), 5, 10, false);
+            g.renew_lease(ms(3000), 5, 11, true);
+            g.renew_lease(ms(3000), 5, 10, false);
         },
         1000,
         1500,
@@ -89,7 +89,7 @@
     ),
     (
         "an old leader's lease",
-        |g| g.lease(ms(9000), 4, 12, false),
+        |g| g.renew_lease(ms(9000), 4, 12, false),
         4000,
         9000,
         0,
@@ -97,17 +97,17 @@
     ),
 ];
 
-/// Symptom: a request that was told off runs later, or runs twice. Sequence: the
-/// dispatch is late, repeated, cancelled first, or meets a stop, a drain, a lapsed
-/// lease. Cause: the agent starts what it is handed.
+/// Failure: a refused request runs later, or a request runs twice. The dispatch is late, repeated
+/// or cancelled first, or meets a stop, a drain or an expired lease. Cause: the agent starts every
+/// dispatch that it receives.
 #[gtest]
-fn only_what_may_start_starts() {
-    for (what, act, now, not_after, running, refusal) in CASES {
+fn only_dispatches_that_may_start_do() {
+    for (name, prepare, now, not_after, running, refusal) in CASES {
         let mut gate = gate();
-        act(&mut gate);
+        prepare(&mut gate);
 
         let got = gate.refusal(ms(now), (1, 1), ms(not_after), running);
 
-        expect_that!(got, eq(refusal), "{what}");
+        expect_that!(got, eq(refusal), "{name}");
     }
 }
--- a/crates/node/src/agent/report.rs
+++ b/crates/node/src/agent/report.rs
@@ -30,15 +30,15 @@
             return self.report(true);
         }
         let until = Duration::from_millis(lease.agent_ms + lease.lease_ms);
-        let before = (self.gate.drained, self.gate.leased(now));
+        let before = (self.gate.drained, self.gate.has_lease(now));
         self.gate
-            .lease(until, lease.fence, lease.revision, lease.drained);
+            .renew_lease(until, lease.fence, lease.revision, lease.drained);
         if self.gate.drained != before.0 {
             self.common
                 .events
                 .note("drain", format!("drained: {}", self.gate.drained));
         }
-        if before != (self.gate.drained, self.gate.leased(now)) {
+        if before != (self.gate.drained, self.gate.has_lease(now)) {
             self.report(true);
         }
         self.rank.learn(lease.fence);
@@ -144,9 +144,9 @@
             running: self.running.len() as u32,
             queued: 0,
             tokens: load.tokens,
-            leaving: self.gate.leaves(),
+            leaving: self.gate.is_leaving(),
             // Without a lease it would turn everything away, as the backend server does that wants rest.
-            healthy: now < self.announced + SILENCE && self.gate.leased(now) && self.takes(now),
+            healthy: now < self.announced + SILENCE && self.gate.has_lease(now) && self.takes(now),
             report_age_ms: 0,
             entries: self.entries_digest,
             profile: None,
--- a/crates/node/src/caller.rs
+++ b/crates/node/src/caller.rs
@@ -240,7 +240,7 @@
         return Ok(None);
     };
     let wrong = || Refusal::not_run(400, "Idempotency-Key: give a UUID of version 7");
-    bn_claim::minted(key).ok_or_else(wrong)?;
+    bn_claim::mint_time(key).ok_or_else(wrong)?;
     Ok(Some(key.to_ascii_lowercase()))
 }
 
--- a/crates/node/src/entry/agents.rs
+++ b/crates/node/src/entry/agents.rs
@@ -3,7 +3,7 @@
 use super::{Entry, Sender};
 use crate::clock::ms;
 use crate::verdict::Verdict;
-use bn_claim::choose;
+use bn_claim::rendezvous;
 use bn_route::Report;
 use bn_wire::messages::envelope::Body;
 use bn_wire::messages::{AgentLease, Attach, Profile};
@@ -135,7 +135,7 @@
         let pairs = all.iter().map(|(id, e)| (id.as_str(), e.domain.as_str()));
         let chosen: Vec<&str> = match all.len() <= FEW_ENTRIES {
             true => all.keys().map(String::as_str).collect(),
-            false => choose(name, ATTACH_TO, pairs),
+            false => rendezvous(name, ATTACH_TO, pairs),
         };
         let inbox = |id: &str| all.get(id).map(|e| e.inbox.to_string());
         let list: Vec<String> = chosen.into_iter().filter_map(inbox).collect();
--- a/crates/node/src/entry/claims.rs
+++ b/crates/node/src/entry/claims.rs
@@ -4,7 +4,7 @@
 use super::{Entry, Sender};
 use crate::clock::wall;
 use crate::verdict::Refusal;
-use bn_claim::{Answer, Chain, HOLDERS, Outcome, choose, minted};
+use bn_claim::{Answer, HOLDERS, Outcome, PendingClaim, mint_time, rendezvous};
 use bn_wire::messages::claim_answer::Kind;
 use bn_wire::messages::envelope::Body;
 use bn_wire::messages::{ClaimAnswer, ClaimAsk};
@@ -26,12 +26,12 @@
             .entries
             .iter()
             .map(|(i, e)| (i.as_str(), e.domain.as_str()));
-        let holders = choose(&key, HOLDERS, entries)
+        let holders = rendezvous(&key, HOLDERS, entries)
             .into_iter()
             .map(String::from)
             .collect();
         if let Some(request) = self.requests.get_mut(&id) {
-            request.phase = Phase::Claiming(Chain::new(holders), now + AGAIN);
+            request.phase = Phase::Claiming(PendingClaim::new(holders), now + AGAIN);
         }
         self.claims.insert(id, id);
         self.ask_holders(id);
@@ -58,7 +58,7 @@
             chain: id,
             epoch: self.state.claim_epoch,
         };
-        for holder in chain.open() {
+        for holder in chain.unanswered() {
             if let Some(entry) = self.state.entries.get(holder) {
                 self.common
                     .net
@@ -73,7 +73,7 @@
         if !self.lease.valid(now) {
             return;
         }
-        let Some(minted) = minted(&ask.key) else {
+        let Some(minted) = mint_time(&ask.key) else {
             return;
         };
         let key = format!("{}/{}", ask.account, ask.key);
@@ -104,8 +104,8 @@
             Kind::Stale => Answer::Stale,
             Kind::Forgot | Kind::Unspecified => Answer::Forgot,
         };
-        match chain.answer(&from.id, kind) {
-            Outcome::Open => {}
+        match chain.record(&from.id, kind) {
+            Outcome::Undecided => {}
             Outcome::Won => {
                 self.claims.remove(&id);
                 self.place(id);
--- a/crates/node/src/entry/request.rs
+++ b/crates/node/src/entry/request.rs
@@ -2,14 +2,14 @@
 
 use super::RequestId;
 use crate::caller::{Answer, Arrival};
-use bn_claim::Chain;
+use bn_claim::PendingClaim;
 use std::time::Duration;
 
 /// Where a request stands.
 #[derive(Debug)]
 pub(crate) enum Phase {
     /// Its key is being claimed.
-    Claiming(Chain, Duration),
+    Claiming(PendingClaim, Duration),
     /// Waits for a backend server with room.
     Queued,
     /// An attempt is under way.
