--- a/crates/gateway/src/asked.rs
+++ b/crates/gateway/src/asked.rs
@@ -37,7 +37,7 @@
         let draw = rand::random();
         let news = state
             .fleet
-            .asked(now, &server.id, server.began, &feedback, draw);
+            .record_answer(now, &server.id, server.start_time, &feedback, draw);
         let terms = state.fleet.get(&server.id).map(|s| &s.terms);
         let limit = terms.map(|t| t.limit()).unwrap_or_default();
         (news, limit, terms.and_then(|t| t.interval()))
@@ -50,7 +50,7 @@
     shared.lines.put(
         "backend_server_asked",
         json!({
-            "id": server.id, "began": server.began, "request": ticket.id, "status": status,
+            "id": server.id, "began": server.start_time, "request": ticket.id, "status": status,
             "limit": asked.limit, "rest_ms": asked.backoff.map(millis), "leaving": asked.leaving,
             "unread": asked.malformed, "own": feedback.authentic, "held_limit": limit.rate,
             "turn": limit.version, "gap_ms": gap.map(millis), "before_ms": millis(before),
@@ -63,14 +63,14 @@
     let now = shared.now();
     let (news, gap) = {
         let fleet = &mut shared.state().fleet;
-        let news = fleet.learn_limit(now, &record.id, record.limit, rand::random());
+        let news = fleet.merge_limit(now, &record.id, record.limit, rand::random());
         (news, fleet.get(&record.id).and_then(|s| s.terms.interval()))
     };
     if news {
         shared.lines.put(
             "backend_server_limit",
             json!({
-                "id": record.id, "began": record.began, "limit": record.limit.rate,
+                "id": record.id, "began": record.start_time, "limit": record.limit.rate,
                 "turn": record.limit.version, "gap_ms": gap.map(millis), "source": source,
             }),
         );
--- a/crates/node/src/entry/admit.rs
+++ b/crates/node/src/entry/admit.rs
@@ -4,7 +4,7 @@
 use super::request::{Phase, Request};
 use crate::caller::{Answer, Arrival};
 use crate::verdict::Refusal;
-use bn_limit::unasked;
+use bn_limit::default_share;
 use std::time::Duration;
 
 /// When a caller should try another entry.
@@ -38,7 +38,7 @@
                 let id = self.number();
                 let claims = request.arrival.idempotency.is_some();
                 self.requests.insert(id, request);
-                self.budget.earn();
+                self.budget.deposit();
                 if claims {
                     self.start_claim(id);
                 } else {
@@ -59,8 +59,8 @@
         let account = self.state.account_by_hash(&arrival.key_hash);
         let (name, account) =
             account.ok_or_else(|| Refusal::not_run(401, "no account has this key"))?;
-        if arrival.priority > account.top {
-            let most = account.top.name();
+        if arrival.priority > account.max_priority {
+            let most = account.max_priority.name();
             return Err(Refusal::not_run(
                 403,
                 format!("this account's priority ends at {most}"),
@@ -74,7 +74,7 @@
         }
         let repeatable = service.repeatable && arrival.idempotency.is_none();
         let (name, rate) = (name.clone(), account.rate);
-        let first = unasked(rate, self.state.entries.len());
+        let first = default_share(rate, self.state.entries.len());
         self.buckets.admit(now, &name, first).map_err(|wait| {
             metrics::counter!("limited", "account" => name.clone()).increment(1);
             Refusal::not_run(429, "this account's rate is used up").retry(wait)
--- /dev/null
+++ b/crates/route/src/backpressure.rs
@@ -0,0 +1,134 @@
+//! Backpressure signalled by a gateway's backend servers: recording it, checking it before a
+//! request is sent, and what to report to the coordinators.
+
+use crate::fleet::Fleet;
+use crate::server::{Server, StartTime};
+use bn_backpressure::{Feedback, GatewaySet, Limit, ServerLimit};
+use std::time::Duration;
+
+/// A limit is reported again at this interval until the coordinators send it back.
+const RESEND_INTERVAL: Duration = Duration::from_secs(1);
+
+impl Fleet {
+    /// Records an answer of a start of a backend server. Returns how long the previous directives
+    /// held if this answer's differ. Answers of an earlier start are ignored.
+    pub fn record_answer(
+        &mut self,
+        now: Duration,
+        id: &str,
+        start_time: StartTime,
+        feedback: &Feedback,
+        draw: f64,
+    ) -> Option<Duration> {
+        let server = self.servers.get_mut(id);
+        let server = server.filter(|s| s.start_time == start_time)?;
+        let before = server.terms.limit();
+        let prior = server
+            .terms
+            .on_response(now, &server.id, feedback, &self.gateways, draw);
+        server.leaving |= server.terms.is_leaving();
+        if server.terms.limit() != before {
+            self.pending_limits.insert(server.id.clone(), None);
+        }
+        prior
+    }
+
+    /// Merges a limit sent by coordinators for the known start; `true` if that changes it.
+    pub fn merge_limit(&mut self, now: Duration, id: &str, limit: Limit, draw: f64) -> bool {
+        let Some(server) = self.servers.get_mut(id) else {
+            return false;
+        };
+        let changed = server
+            .terms
+            .merge_limit(now, &server.id, limit, &self.gateways, draw);
+        match server.terms.is_known_at(limit.version) {
+            true => {
+                self.pending_limits.swap_remove(id);
+            }
+            // The coordinators lost it, for instance because all of them restarted.
+            false => {
+                self.pending_limits.entry(server.id.clone()).or_insert(None);
+            }
+        }
+        changed
+    }
+
+    /// Sets the gateways that callers are sent to.
+    pub fn set_gateways(
+        &mut self,
+        now: Duration,
+        gateways: GatewaySet,
+        mut draw: impl FnMut() -> f64,
+    ) {
+        self.gateways = gateways;
+        for server in self.servers.values_mut() {
+            server
+                .terms
+                .reschedule(now, &server.id, &self.gateways, draw());
+        }
+    }
+
+    /// Whether a request may still be sent to the backend server picked for it earlier. While it
+    /// waited for a connection, another answer may have changed that.
+    pub fn may_send(&mut self, now: Duration, picked: &Server) -> bool {
+        let server = self.servers.get_mut(&picked.id);
+        let Some(server) = server.filter(|s| s.start_time == picked.start_time && !s.leaving)
+        else {
+            return false;
+        };
+        if server.terms.changes() == picked.terms.changes() {
+            return true;
+        }
+        let open = server.terms.may_send(now);
+        if open {
+            server.terms.on_sent(now);
+        }
+        open
+    }
+
+    /// Limits that are due to be reported to the coordinators.
+    pub fn limits_to_report(&mut self, now: Duration) -> Vec<ServerLimit> {
+        let mut limits = Vec::new();
+        for (id, sent_at) in &mut self.pending_limits {
+            if sent_at.is_some_and(|at| now < at + RESEND_INTERVAL) {
+                continue;
+            }
+            let Some(server) = self.servers.get(id) else {
+                continue;
+            };
+            *sent_at = Some(now);
+            limits.push(ServerLimit {
+                id: id.clone(),
+                began: server.start_time,
+                limit: server.terms.limit(),
+            });
+        }
+        limits
+    }
+
+    /// Number of backend servers that accept no request of this gateway now, as they asked.
+    pub fn throttled_count(&self, now: Duration) -> usize {
+        let servers = self.servers.values();
+        let throttled = |s: &&Server| s.terms.is_leaving() || !s.terms.may_send(now);
+        servers.filter(throttled).count()
+    }
+
+    /// Whether all backend servers of a service accept no request of this gateway, as they asked.
+    pub fn is_throttled(&self, now: Duration, service: &str) -> bool {
+        let mut accepting = self.accepting(service).peekable();
+        accepting.peek().is_some() && accepting.all(|s| !s.terms.may_send(now))
+    }
+
+    /// Earliest time at which a backend server of a service may be sent a request; `None` if only
+    /// other gateways send to them.
+    pub fn next_send_at(&self, service: &str) -> Option<Duration> {
+        self.accepting(service)
+            .filter_map(|s| s.terms.next_send_at())
+            .min()
+    }
+
+    fn accepting(&self, service: &str) -> impl Iterator<Item = &Server> {
+        let servers = self.servers.values();
+        servers.filter(move |s| s.service == service && !s.leaving)
+    }
+}
