--- a/crates/backpressure/src/limit.rs
+++ b/crates/backpressure/src/limit.rs
@@ -31,7 +31,7 @@
     /// Id of the backend server.
     pub id: ServerId,
     /// Start time of the backend server.
-    pub began: StartTime,
+    pub start_time: StartTime,
     /// The limit.
     pub limit: Limit,
 }
--- a/crates/backpressure/src/wire.rs
+++ b/crates/backpressure/src/wire.rs
@@ -23,7 +23,7 @@
     fn from(limited: ServerLimit) -> wire::LimitHeard {
         let start = ServerStart {
             id: limited.id,
-            began: limited.began,
+            began: limited.start_time,
         };
         wire::LimitHeard {
             start: Some(start),
@@ -40,7 +40,7 @@
         let start = raw.start.context(MissingStartSnafu)?;
         Ok(ServerLimit {
             id: start.id,
-            began: start.began,
+            start_time: start.began,
             limit: Limit::from_wire(raw.rate, raw.turn)?,
         })
     }
--- a/crates/coordinator/src/announcements.rs
+++ b/crates/coordinator/src/announcements.rs
@@ -129,7 +129,7 @@
 
     fn on_limit(&mut self, now: Duration, heard: &ServerLimit) {
         let known = self.registry.get(&heard.id);
-        let Some(known) = known.filter(|r| r.start_time == heard.began) else {
+        let Some(known) = known.filter(|r| r.start_time == heard.start_time) else {
             return;
         };
         let limit = known.limit.merge(heard.limit);
--- a/crates/coordinator/src/cases.rs
+++ b/crates/coordinator/src/cases.rs
@@ -112,7 +112,7 @@
         let digests: Vec<String> = end.runs.iter().map(|(d, _)| to_text(*d)).collect();
         self.lines.put(
             "end_heard",
-            json!({ "id": end.start.id, "began": end.start.began, "gateway": inbox, "digests": digests }),
+            json!({ "id": end.start.id, "began": end.start.start_time, "gateway": inbox, "digests": digests }),
         );
         self.tell_end(now, &end.start);
         for (digest, alone) in &end.runs {
--- a/crates/gateway/src/cases.rs
+++ b/crates/gateway/src/cases.rs
@@ -93,7 +93,7 @@
         }
         let next = Start {
             id: record.id.clone(),
-            began: record.start_time,
+            start_time: record.start_time,
         };
         let now = self.shared.now();
         let ends = self
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -47,7 +47,7 @@
     pub(crate) fn at(server: &Server) -> Run {
         let start = Start {
             id: server.id.clone(),
-            began: server.start_time,
+            start_time: server.start_time,
         };
         Run {
             start,
@@ -158,7 +158,7 @@
         let mut state = shared.state();
         // One that leaves, or is gone, ends with what it has: that is no request's doing.
         let known = state.fleet.get(&run.start.id);
-        if known.is_none_or(|s| s.leaving || s.start_time != run.start.began) {
+        if known.is_none_or(|s| s.leaving || s.start_time != run.start.start_time) {
             return;
         }
         state.watch.on_lost(now, &run.start, run.address, lost)
@@ -212,7 +212,10 @@
     let now = shared.now();
     let address = {
         let mut state = shared.state();
-        if !state.fleet.mark_terminated(now, &start.id, start.began) {
+        if !state
+            .fleet
+            .mark_terminated(now, &start.id, start.start_time)
+        {
             return;
         }
         state.forget_pace_of(&start.id);
@@ -222,7 +225,7 @@
         shared.pool.forget(address);
     }
     shared.room.notify_waiters();
-    let fields = json!({ "id": start.id, "began": start.began, "sign": sign });
+    let fields = json!({ "id": start.id, "began": start.start_time, "sign": sign });
     shared.lines.put("backend_server_fell", fields);
 }
 
@@ -233,7 +236,7 @@
     shared.lines.put(
         "backend_server_ended",
         json!({
-            "id": end.start.id, "began": end.start.began, "sign": sign, "digests": digests,
+            "id": end.start.id, "began": end.start.start_time, "sign": sign, "digests": digests,
             "alone": alone,
         }),
     );
--- a/crates/quarantine/src/case.rs
+++ b/crates/quarantine/src/case.rs
@@ -9,7 +9,7 @@
     /// Id of the backend server.
     pub id: String,
     /// Start time, which orders its starts.
-    pub began: u64,
+    pub start_time: u64,
 }
 
 /// What may be done with a request.
--- a/crates/quarantine/src/losses.rs
+++ b/crates/quarantine/src/losses.rs
@@ -145,7 +145,7 @@
         address: Option<SocketAddr>,
     ) -> Vec<Termination> {
         let superseded = |(start, row): &(&Start, &Row)| {
-            let earlier = start.id == next.id && start.began < next.began;
+            let earlier = start.id == next.id && start.start_time < next.start_time;
             let replaced = start.id != next.id && Some(row.address) == address;
             row.terminated_at.is_none() && (earlier || replaced)
         };
--- a/crates/quarantine/src/wire.rs
+++ b/crates/quarantine/src/wire.rs
@@ -22,7 +22,7 @@
     fn from(start: &Start) -> Self {
         wire::ServerStart {
             id: start.id.clone(),
-            began: start.began,
+            began: start.start_time,
         }
     }
 }
@@ -31,7 +31,7 @@
     fn from(start: wire::ServerStart) -> Self {
         Start {
             id: start.id,
-            began: start.began,
+            start_time: start.began,
         }
     }
 }
--- a/crates/quarantine/tests/cases.rs
+++ b/crates/quarantine/tests/cases.rs
@@ -12,9 +12,9 @@
 
 const REQUEST: Digest = 1;
 
-fn start(id: &str, began: u64) -> Start {
+fn start(id: &str, start_time: u64) -> Start {
     let id = id.into();
-    Start { id, began }
+    Start { id, start_time }
 }
 
 fn address(port: u16) -> SocketAddr {
--- a/crates/quarantine/tests/world/mod.rs
+++ b/crates/quarantine/tests/world/mod.rs
@@ -50,7 +50,7 @@
 }
 
 struct Server {
-    began: u64,
+    start: u64,
     up: bool,
 }
 
@@ -125,7 +125,7 @@
                 .map(|_| Coordinator::default())
                 .collect(),
             servers: (0..setup.servers)
-                .map(|_| Server { began: 1, up: true })
+                .map(|_| Server { start: 1, up: true })
                 .collect(),
             runs: HashMap::new(),
             deadly: Vec::new(),
@@ -222,7 +222,7 @@
             Event::ProbeRefused(gateway, start) => self.on_probe_refused(gateway, &start),
             Event::RestartServer(server) => {
                 let server = &mut self.servers[server];
-                (server.up, server.began) = (true, server.began + 1);
+                (server.up, server.start) = (true, server.start + 1);
             }
             Event::TerminationReport(to, termination) => self.on_termination(to, &termination),
             Event::TrialRequest(to, gateway, digest, time, work) => {
@@ -313,7 +313,7 @@
     fn start_of(&self, server: usize) -> Start {
         Start {
             id: format!("s{server}"),
-            began: self.servers[server].began,
+            start_time: self.servers[server].start,
         }
     }
 
--- a/crates/route/src/backpressure.rs
+++ b/crates/route/src/backpressure.rs
@@ -99,7 +99,7 @@
             *sent_at = Some(now);
             limits.push(ServerLimit {
                 id: id.clone(),
-                began: server.start_time,
+                start_time: server.start_time,
                 limit: server.terms.limit(),
             });
         }
