--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -7,10 +7,10 @@
 use crate::shared::Shared;
 use crate::sources::{Sources, Telling};
 use crate::suspects::Report;
-use bn_backpressure::Share;
+use bn_backpressure::GatewaySet;
 use bn_directory::{GatewaySelection, SelectedGateway};
 use bn_net::{Net, Usage};
-use bn_quarantine::{Digest, Told};
+use bn_quarantine::{CaseUpdate, Digest};
 use bn_registry::{Condition, Record};
 use bn_route::Server;
 use bn_wire::messages::envelope::Body;
@@ -225,7 +225,7 @@
             }
         }
         for raw in news.cases {
-            match Told::try_from(raw) {
+            match CaseUpdate::try_from(raw) {
                 Ok(told) => self.learn(&told),
                 Err(e) => log::warn!("a case from {inbox}: {e}"),
             }
@@ -278,7 +278,7 @@
                 let fields =
                     json!({ "gateways": named.gateways().len(), "mark": named.checksum() });
                 self.shared.lines.put("gateways_named", fields);
-                let share = Share {
+                let share = GatewaySet {
                     own: Some(self.callers),
                     gateways: named.gateways().iter().map(|g| g.callers).collect(),
                 };
@@ -330,7 +330,7 @@
             "id": record.id, "service": record.service, "address": record.address,
             "condition": format!("{:?}", record.condition), "sequence": record.sequence,
             "began": record.start_time, "group": record.group, "pace": record.slowdown,
-            "limit": record.limit.rate, "turn": record.limit.turn,
+            "limit": record.limit.rate, "turn": record.limit.version,
         });
         self.shared.lines.put("backend_server", fields);
         self.registered.insert(record.id.clone(), record);
--- a/crates/registry/src/wire.rs
+++ b/crates/registry/src/wire.rs
@@ -29,7 +29,7 @@
             pace: r.slowdown,
             told: r.rank_version,
             limit: r.limit.rate,
-            limit_turn: r.limit.turn,
+            limit_turn: r.limit.version,
         }
     }
 }
@@ -53,7 +53,7 @@
             group: r.group,
             slowdown: r.pace,
             rank_version: r.told,
-            limit: Limit::read(r.limit, r.limit_turn)
+            limit: Limit::from_wire(r.limit, r.limit_turn)
                 .ok()
                 .context(InvalidRegistrationSnafu)?,
             service: r.service,
--- a/crates/route/src/backpressure.rs
+++ b/crates/route/src/backpressure.rs
@@ -3,7 +3,7 @@
 
 use crate::fleet::Fleet;
 use crate::server::{Server, StartTime};
-use bn_backpressure::{Answer, Limit, Limited, Share};
+use bn_backpressure::{Feedback, GatewaySet, Limit, ServerLimit};
 use std::time::Duration;
 
 /// A limit is reported again at this interval until the coordinators send it back.
@@ -17,7 +17,7 @@
         now: Duration,
         id: &str,
         start_time: StartTime,
-        answer: &Answer,
+        feedback: &Feedback,
         draw: f64,
     ) -> Option<Duration> {
         let server = self.servers.get_mut(id);
@@ -25,7 +25,7 @@
         let before = server.terms.limit();
         let prior = server
             .terms
-            .heard(now, &server.id, answer, &self.gateways, draw);
+            .on_response(now, &server.id, feedback, &self.gateways, draw);
         server.leaving |= server.terms.is_leaving();
         if server.terms.limit() != before {
             self.pending_limits.insert(server.id.clone(), None);
@@ -40,8 +40,8 @@
         };
         let changed = server
             .terms
-            .learn(now, &server.id, limit, &self.gateways, draw);
-        match server.terms.is_told(limit.turn) {
+            .merge_limit(now, &server.id, limit, &self.gateways, draw);
+        match server.terms.is_known_at(limit.version) {
             true => {
                 self.pending_limits.swap_remove(id);
             }
@@ -54,12 +54,17 @@
     }
 
     /// Sets the gateways that callers are sent to.
-    pub fn set_gateways(&mut self, now: Duration, gateways: Share, mut draw: impl FnMut() -> f64) {
+    pub fn set_gateways(
+        &mut self,
+        now: Duration,
+        gateways: GatewaySet,
+        mut draw: impl FnMut() -> f64,
+    ) {
         self.gateways = gateways;
         for server in self.servers.values_mut() {
             server
                 .terms
-                .reshare(now, &server.id, &self.gateways, draw());
+                .reschedule(now, &server.id, &self.gateways, draw());
         }
     }
 
@@ -71,18 +76,18 @@
         else {
             return false;
         };
-        if server.terms.mark() == picked.terms.mark() {
+        if server.terms.changes() == picked.terms.changes() {
             return true;
         }
-        let open = server.terms.is_open(now);
+        let open = server.terms.may_send(now);
         if open {
-            server.terms.sent(now);
+            server.terms.on_sent(now);
         }
         open
     }
 
     /// Limits that are due to be reported to the coordinators.
-    pub fn limits_to_report(&mut self, now: Duration) -> Vec<Limited> {
+    pub fn limits_to_report(&mut self, now: Duration) -> Vec<ServerLimit> {
         let mut limits = Vec::new();
         for (id, sent_at) in &mut self.pending_limits {
             if sent_at.is_some_and(|at| now < at + RESEND_INTERVAL) {
@@ -92,9 +97,9 @@
                 continue;
             };
             *sent_at = Some(now);
-            limits.push(Limited {
+            limits.push(ServerLimit {
                 id: id.clone(),
-                began: server.start_time,
+                start_time: server.start_time,
                 limit: server.terms.limit(),
             });
         }
@@ -104,21 +109,21 @@
     /// Number of backend servers that accept no request of this gateway now, as they asked.
     pub fn throttled_count(&self, now: Duration) -> usize {
         let servers = self.servers.values();
-        let throttled = |s: &&Server| s.terms.is_leaving() || !s.terms.is_open(now);
+        let throttled = |s: &&Server| s.terms.is_leaving() || !s.terms.may_send(now);
         servers.filter(throttled).count()
     }
 
     /// Whether all backend servers of a service accept no request of this gateway, as they asked.
     pub fn is_throttled(&self, now: Duration, service: &str) -> bool {
         let mut accepting = self.accepting(service).peekable();
-        accepting.peek().is_some() && accepting.all(|s| !s.terms.is_open(now))
+        accepting.peek().is_some() && accepting.all(|s| !s.terms.may_send(now))
     }
 
     /// Earliest time at which a backend server of a service may be sent a request; `None` if only
     /// other gateways send to them.
     pub fn next_send_at(&self, service: &str) -> Option<Duration> {
         self.accepting(service)
-            .filter_map(|s| s.terms.open_at())
+            .filter_map(|s| s.terms.next_send_at())
             .min()
     }
 
--- a/crates/route/src/fleet.rs
+++ b/crates/route/src/fleet.rs
@@ -2,7 +2,7 @@
 //! them.
 
 use crate::server::{LoadReport, Server, ServerId, StartTime, Unit, without_slow};
-use bn_backpressure::Share;
+use bn_backpressure::GatewaySet;
 use indexmap::{IndexMap, IndexSet};
 use std::time::Duration;
 
@@ -78,7 +78,7 @@
     /// Other gateways that send requests to the same backend servers.
     pub peers: u32,
     /// Determines this gateway's share of limits.
-    pub(crate) gateways: Share,
+    pub(crate) gateways: GatewaySet,
     /// Backend servers whose limit the coordinators may not know, and when it was last reported.
     pub(crate) pending_limits: IndexMap<ServerId, Option<Duration>>,
 }
@@ -92,7 +92,7 @@
             peer_loads: IndexMap::new(),
             stalled: IndexMap::new(),
             peers: 0,
-            gateways: Share::default(),
+            gateways: GatewaySet::default(),
             pending_limits: IndexMap::new(),
         }
     }
@@ -155,10 +155,13 @@
         }
         // A backend server that accepts few requests, or rejects them at once, has the lowest load
         // and would be picked every time: only its own directives prevent that.
-        let next_send_at = candidates.iter().filter_map(|s| s.terms.open_at()).min();
+        let next_send_at = candidates
+            .iter()
+            .filter_map(|s| s.terms.next_send_at())
+            .min();
         let candidates: Vec<&Server> = candidates
             .into_iter()
-            .filter(|s| s.terms.is_open(now))
+            .filter(|s| s.terms.may_send(now))
             .collect();
         if candidates.is_empty() {
             return Err(Unavailable::Throttled(next_send_at));
@@ -280,7 +283,7 @@
     pub fn record_sent(&mut self, now: Duration, id: &str) {
         if let Some(server) = self.servers.get_mut(id) {
             server.in_flight += 1;
-            server.terms.sent(now);
+            server.terms.on_sent(now);
             if let Some(stall) = self.stalled.get_mut(&server.unit) {
                 stall.next_probe = now + PROBE_INTERVAL;
             }
@@ -377,7 +380,7 @@
 /// Leaves out those that may reject a request, if there are others: requests that may still be sent
 /// elsewhere find out whether a backend server accepts more after a backoff.
 fn without_backoff(candidates: Vec<&Server>) -> Vec<&Server> {
-    let not_backing_off = |s: &&Server| !s.terms.is_resting();
+    let not_backing_off = |s: &&Server| !s.terms.is_backing_off();
     match candidates.iter().any(not_backing_off) {
         true => candidates.into_iter().filter(not_backing_off).collect(),
         false => candidates,
--- a/crates/route/tests/asked.rs
+++ b/crates/route/tests/asked.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
-use bn_backpressure::{Answer, Asked, Limit, Share};
+use bn_backpressure::{Directives, Feedback, GatewaySet, Limit};
 use bn_route::{Fleet, PickArgs, Server, Unavailable};
 use googletest::prelude::*;
 use std::time::Duration;
@@ -16,7 +16,7 @@
         fleet.upsert(Server::new(&format!("b{n}"), "s", address, "d0", 4));
     }
     let own = ([10, 1, 0, 1], 80).into();
-    let share = Share {
+    let share = GatewaySet {
         own: Some(own),
         gateways: vec![own],
     };
@@ -34,19 +34,19 @@
     fleet.pick(now, &args, || 0.0).map(|s| s.id.clone())
 }
 
-fn respond(fleet: &mut Fleet, now: Duration, id: &str, asked: Asked) -> Option<Duration> {
-    let answer = Answer {
-        asked,
-        sent: now,
-        own: true,
+fn respond(fleet: &mut Fleet, now: Duration, id: &str, asked: Directives) -> Option<Duration> {
+    let feedback = Feedback {
+        directives: asked,
+        sent_at: now,
+        authentic: true,
     };
-    fleet.record_answer(now, id, 0, &answer, 0.0)
+    fleet.record_answer(now, id, 0, &feedback, 0.0)
 }
 
-fn limit(rate: f64) -> Asked {
-    Asked {
+fn limit(rate: f64) -> Directives {
+    Directives {
         limit: Some(rate),
-        ..Asked::default()
+        ..Directives::default()
     }
 }
 
@@ -95,7 +95,7 @@
 fn no_send_time_when_only_other_gateways_send() {
     let mut fleet = fleet(1);
     respond(&mut fleet, NOW, "b0", limit(1.0));
-    let others = Share {
+    let others = GatewaySet {
         own: Some(([10, 1, 0, 1], 80).into()),
         gateways: vec![([10, 1, 0, 2], 80).into()],
     };
@@ -164,10 +164,10 @@
     expect_that!(known.rate, some(eq(1.0)));
 }
 
-fn backoff(time: Duration) -> Asked {
-    Asked {
-        rest: Some(time),
-        ..Asked::default()
+fn backoff(time: Duration) -> Directives {
+    Directives {
+        backoff: Some(time),
+        ..Directives::default()
     }
 }
 
@@ -216,14 +216,14 @@
 fn leaving_server_gets_no_more_requests() {
     let mut fleet = fleet(2);
     let picked = fleet.get("b0").unwrap().clone();
-    let leaving = Asked {
+    let leaving = Directives {
         leaving: true,
-        ..Asked::default()
+        ..Directives::default()
     };
 
     respond(&mut fleet, NOW, "b0", leaving);
     // Neither its next answer nor an earlier announcement mentions it.
-    respond(&mut fleet, NOW, "b0", Asked::default());
+    respond(&mut fleet, NOW, "b0", Directives::default());
     fleet.upsert(Server::new("b0", "s", picked.address, "d0", 4));
     respond(&mut fleet, NOW, "b1", leaving);
 
@@ -235,9 +235,9 @@
 #[googletest::test]
 fn leaving_does_not_apply_to_a_later_start() {
     let mut fleet = fleet(1);
-    let leaving = Asked {
+    let leaving = Directives {
         leaving: true,
-        ..Asked::default()
+        ..Directives::default()
     };
     respond(&mut fleet, NOW, "b0", leaving);
     let mut next = fleet.get("b0").unwrap().clone();
