--- a/crates/coordinator/src/asks.rs
+++ b/crates/coordinator/src/asks.rs
@@ -2,7 +2,7 @@
 
 use crate::relays::About;
 use bn_group::ExpertMap;
-use bn_group::pilot::{self, Ask, Command, Reply, View};
+use bn_group::switch_controller::{self, Ask, Command, Reply, View};
 use bn_platform::engine::{self, Operation, RankedMap};
 use bn_wire::messages::{EngineAsk, PrepareOrder};
 use std::net::SocketAddr;
@@ -75,7 +75,7 @@
 pub(crate) fn engine_ask(
     number: u64,
     relay: SocketAddr,
-    call: &pilot::Call,
+    call: &switch_controller::Call,
     counts: bool,
 ) -> (EngineAsk, About) {
     let mut ask = EngineAsk {
--- a/crates/coordinator/src/carry.rs
+++ b/crates/coordinator/src/carry.rs
@@ -6,7 +6,7 @@
 use crate::relays::{self, About, GroupId};
 use crate::ring::Event;
 use bn_engine::{Answer, Call, What};
-use bn_group::pilot::{self, Ask, Command, Pilot, Reply};
+use bn_group::switch_controller::{self, Ask, Command, Pilot, Reply};
 use bn_wire::messages::envelope::Body;
 use bn_wire::messages::{EngineAnswers, EngineAsks};
 use serde_json::json;
@@ -21,7 +21,12 @@
 
 impl Core {
     /// Sends calls on their ways: through relays in parts, each by way of one of them, or straight.
-    pub(super) fn carry(&mut self, now: Duration, group: &GroupId, calls: Vec<pilot::Call>) {
+    pub(super) fn carry(
+        &mut self,
+        now: Duration,
+        group: &GroupId,
+        calls: Vec<switch_controller::Call>,
+    ) {
         let port = self.inbox.port();
         let count = calls.len();
         let ranks = self.groups.pilots.get(group).map_or(0, Pilot::ranks);
@@ -126,7 +131,12 @@
         self.net.send(head, Body::EngineAsks(asks));
     }
 
-    fn call_straight(&mut self, group: &GroupId, address: SocketAddr, call: pilot::Call) {
+    fn call_straight(
+        &mut self,
+        group: &GroupId,
+        address: SocketAddr,
+        call: switch_controller::Call,
+    ) {
         let (path, body, read) = self.groups.written.call(call.ask);
         let (ring, group) = (self.ring.clone(), group.clone());
         let number = call.call;
@@ -193,7 +203,7 @@
     domain: String,
     /// A look takes counts, too.
     counts: bool,
-    call: pilot::Call,
+    call: switch_controller::Call,
 }
 
 /// How a call gets to an engine.
@@ -217,7 +227,7 @@
 /// cannot open connections has no link to relays that others passed its asks on to: the third try goes
 /// by way of a relay that it hears. Else a group that is held stands until the leader can open
 /// connections again.
-pub fn way(call: &pilot::Call, ranks: usize) -> Way {
+pub fn way(call: &switch_controller::Call, ranks: usize) -> Way {
     let by_relay = match &call.ask {
         Ask::Report | Ask::Look | Ask::Copied(_) => true,
         Ask::Order(command, ..) => match command {
--- a/crates/coordinator/src/groups.rs
+++ b/crates/coordinator/src/groups.rs
@@ -5,7 +5,7 @@
 use crate::core::Core;
 use crate::relays::GroupId;
 use bn_group::Muster;
-use bn_group::pilot::{self, EngineId, Note, Pilot, Reply, Shape, Used, View};
+use bn_group::switch_controller::{self, EngineId, Note, Pilot, Reply, Shape, Used, View};
 use bn_quorum::Role;
 use indexmap::IndexMap;
 use serde_json::json;
@@ -112,7 +112,7 @@
         id: &GroupId,
         shape: Shape,
         members: IndexMap<EngineId, View>,
-    ) -> Vec<pilot::Call> {
+    ) -> Vec<switch_controller::Call> {
         let groups = &mut self.groups;
         if !groups.pilots.contains_key(id) {
             let mut pilot = Pilot::new(groups.term, shape);
--- a/crates/coordinator/src/relays.rs
+++ b/crates/coordinator/src/relays.rs
@@ -9,7 +9,7 @@
 //! dead, or cut off, shows by an ask without an answer: then its engine is called straight
 //! for a while.
 
-use bn_group::pilot::{Reply, View};
+use bn_group::switch_controller::{Reply, View};
 use bn_wire::messages::{EngineAnswer, EngineView};
 use indexmap::IndexMap;
 use std::net::{IpAddr, SocketAddr};
--- a/crates/coordinator/src/ring.rs
+++ b/crates/coordinator/src/ring.rs
@@ -6,7 +6,7 @@
 //! twentieth of a core, and leaders are deposed one after the other. So there are two rings, and of
 //! the second no more is taken at once than a heartbeat may be late.
 
-use bn_group::pilot::Reply;
+use bn_group::switch_controller::Reply;
 use bn_settle::Plan;
 use bn_wire::messages::Envelope;
 use bn_wire::messages::envelope::Body;
--- a/crates/coordinator/tests/relays.rs
+++ b/crates/coordinator/tests/relays.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
 use bn_coordinator::{About, GroupId, Relays, Way, is_counted, part, parts, way};
-use bn_group::pilot::{Ask, Call, Command};
+use bn_group::switch_controller::{Ask, Call, Command};
 use googletest::prelude::*;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/group/src/muster.rs
+++ b/crates/group/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Which engines form which lock-step group, learnt from what they report themselves. The
 //! engines of one service may form several groups; one that belongs to none yet is left alone.
 
-use crate::pilot::{Ask, Call, EngineId, Reply, View};
+use crate::switch_controller::{Ask, Call, EngineId, Reply, View};
 use indexmap::{IndexMap, IndexSet};
 use std::time::Duration;
 
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -5,19 +5,19 @@
 mod balance;
 mod coordinator;
 mod demand;
+mod discovery;
 mod map;
-mod muster;
-pub mod pilot;
 mod rank;
-mod spread;
+mod rebalance;
+pub mod switch_controller;
 
 pub use balance::{Costs, Estimate, Plan, plan, repack, skew, step_cost};
 pub use coordinator::{Action, Coordinator, Settled};
 pub use demand::{Demand, Loads};
+pub use discovery::{GroupName, Muster};
 pub use map::{ExpertMap, MapFault};
-pub use muster::{GroupName, Muster};
 pub use rank::{Order, OrderKind, OrderRefusal, Rank, RankReport};
-pub use spread::{Limits, lag, spread};
+pub use rebalance::{Limits, lag, spread};
 
 /// Rank in a group, from 0.
 pub type RankId = u32;
--- a/crates/group/src/pilot/mod.rs
+++ b/crates/group/src/switch_controller/mod.rs
@@ -19,13 +19,13 @@
 //! know of it can do nothing from then on. What it left half done is undone under the
 //! hold that still stands.
 
-mod model;
+mod calls;
 mod planning;
-mod rounds;
-mod survey;
+mod polling;
 mod switching;
+mod types;
 
-pub use model::{Ask, Call, Command, EngineId, Note, Pass, Reply, Shape, View};
+pub use types::{Ask, Call, Command, EngineId, Note, Pass, Reply, Shape, View};
 
 use crate::Version;
 use crate::demand::Demand;
--- a/crates/group/src/pilot/planning.rs
+++ b/crates/group/src/switch_controller/planning.rs
@@ -1,12 +1,12 @@
 //! Choosing the next map from what was asked for, and having it copied.
 
-use super::rounds::views;
+use super::calls::views;
 use super::{
     AHEAD, Call, Command, EngineId, FRESH_AHEAD, FURTHEST, LONGEST_PASS, Note, PER_TERM, Pass,
     Phase, Pilot, Reply, SHORTEST_PASS, Switch,
 };
 use crate::map::ExpertMap;
-use crate::spread::{Limits, lag, spread};
+use crate::rebalance::{Limits, lag, spread};
 use indexmap::IndexMap;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/group/src/pilot/survey.rs
+++ b/crates/group/src/switch_controller/polling.rs
@@ -1,7 +1,7 @@
 //! Looking at the group: who forms it, that no earlier leader gives orders, what a dead one
 //! left behind, and which map is in use.
 
-use super::rounds::views;
+use super::calls::views;
 use super::{Ask, Call, Command, EngineId, NO_VERSION, Phase, Pilot, Reply, Shape, Switch, View};
 use crate::map::ExpertMap;
 use indexmap::IndexMap;
--- a/crates/group/src/pilot/switching.rs
+++ b/crates/group/src/switch_controller/switching.rs
@@ -1,6 +1,6 @@
 //! From a prepared map to one in use: hold, arm, go; or everything undone under the hold.
 
-use super::survey::LAG;
+use super::polling::LAG;
 use super::{Call, Command, EngineId, FURTHEST, NO_VERSION, Pass, Phase, Pilot, Reply};
 use crate::Version;
 use indexmap::IndexMap;
--- a/crates/group/tests/engines/mod.rs
+++ b/crates/group/tests/engines/mod.rs
@@ -8,7 +8,7 @@
 
 pub(crate) use prompts::Prompts;
 
-use bn_group::pilot::{Ask, Call, Command, Pilot, Reply, Shape, View};
+use bn_group::switch_controller::{Ask, Call, Command, Pilot, Reply, Shape, View};
 use bn_group::{ExpertMap, Limits};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
--- a/crates/group/tests/muster.rs
+++ b/crates/group/tests/muster.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
 use bn_group::Muster;
-use bn_group::pilot::{Call, Reply, View};
+use bn_group::switch_controller::{Call, Reply, View};
 use googletest::prelude::*;
 use std::time::Duration;
 
--- a/crates/group/tests/pilot.rs
+++ b/crates/group/tests/pilot.rs
@@ -5,7 +5,7 @@
 
 mod engines;
 
-use bn_group::pilot::{Command, Reply};
+use bn_group::switch_controller::{Command, Reply};
 use engines::{Trouble, World};
 use googletest::prelude::*;
 use rand::rngs::SmallRng;
