--- a/crates/group/src/coordinator.rs
+++ b/crates/group/src/coordinator.rs
@@ -1,60 +1,60 @@
-//! The leader's end of a switch: prepare on all ranks, commit to the log at a step
-//! beyond every step granted, grant on. Ranks run what is granted and no further, so
-//! one that missed the commit stalls and never mixes maps.
+//! Leader side of a switch: prepare it on all ranks, commit it to the log at a step beyond every
+//! granted step, then continue granting. Ranks run only granted steps, so a rank that missed the
+//! commit stalls and never mixes maps.
 
 use crate::rank::{Order, OrderKind, RankReport};
 use crate::{RankId, Step, Version};
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// A rank that has not reported for this long is taken for dead.
-const SILENCE: Duration = Duration::from_secs(3);
-/// A switch that is not prepared everywhere by then is given up.
-const PREPARE_WITHIN: Duration = Duration::from_secs(20);
-/// A commit that has not come back from the log is proposed again.
-const AGAIN: Duration = Duration::from_secs(1);
+/// A rank that has not reported for this long is considered dead.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(3);
+/// A switch that is not prepared on all ranks within this time is cancelled.
+const PREPARE_TIMEOUT: Duration = Duration::from_secs(20);
+/// A proposal that has not been applied from the log within this time is repeated.
+const PROPOSE_RETRY: Duration = Duration::from_secs(1);
 
-/// What the log says of a group.
+/// State of a group as committed to the log.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Settled {
-    /// Version of the map in force.
+pub struct CommittedState {
+    /// Version of the current map.
     pub version: Version,
-    /// Its first step.
-    pub from: Step,
-    /// The map, as text.
+    /// First step of that version.
+    pub first_step: Step,
+    /// The map in text form.
     pub map: String,
-    /// The map that operators or the policy want next, with its version: a number
-    /// that no other map had, so that what is prepared cannot be mistaken.
+    /// The map that operators or the policy want next, with its version. No other map ever had this
+    /// version number, so a prepared map cannot be mistaken for another.
     pub wanted: Option<(Version, String)>,
-    /// Steps that may have been granted, by any leader: a bound in the log. Ranks and
+    /// Upper bound, kept in the log, of the steps that any leader may have granted. Ranks and
     /// leaders forget what was granted when they die.
     pub reserved: Step,
     /// Ranks of the group.
     pub ranks: u32,
 }
 
-/// What the leader must do.
+/// What the leader has to do.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Send an order to a rank's agent.
+    /// Send an order to the agent of a rank.
     Send(RankId, Order),
-    /// Propose to the log: the wanted version holds from this step on.
+    /// Propose to the log that the wanted version takes effect at this step.
     Commit {
         /// The version.
         version: Version,
         /// Its first step.
         from: Step,
     },
-    /// Propose to the log: steps below this one may be granted from now on.
+    /// Propose to the log that steps below this one may be granted.
     Reserve {
-        /// First step that may not.
+        /// First step that must not be granted.
         until: Step,
     },
-    /// Propose to the log that the wanted map is given up.
+    /// Propose to the log that the wanted map is cancelled.
     Cancel {
         /// The version.
         version: Version,
-        /// Why.
+        /// Reason for the cancellation.
         reason: String,
     },
 }
@@ -62,36 +62,36 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Phase {
     Steady,
-    /// Since when.
+    /// Start time of the preparation.
     Preparing(Duration),
-    /// First step of the new version; when it was proposed last.
+    /// First step of the new version, and when it was last proposed.
     Committing(Step, Duration),
 }
 
-/// One group, at the leader of one term.
+/// One group, as seen by the leader of one term.
 #[derive(Debug, Clone)]
 pub struct Coordinator {
     fence: u64,
-    /// Steps granted ahead of the slowest rank.
+    /// Number of steps granted ahead of the slowest rank.
     window: Step,
-    settled: Settled,
+    committed: CommittedState,
     phase: Phase,
     reports: IndexMap<RankId, (Duration, RankReport)>,
-    /// Highest step bound that this leader granted.
+    /// End of the furthest grant by this leader.
     granted: Step,
-    /// When a reservation was proposed last.
+    /// When a reservation was last proposed.
     reserved_at: Option<Duration>,
 }
 
 impl Coordinator {
-    /// The coordinator of a leader with this fencing number, which lets ranks run
-    /// `window` steps ahead of the slowest.
-    pub fn new(fence: u64, window: Step, settled: Settled) -> Coordinator {
+    /// Creates the coordinator of a leader with this fencing token, which grants steps up to
+    /// `window` ahead of the slowest rank.
+    pub fn new(fence: u64, window: Step, committed: CommittedState) -> Coordinator {
         let (phase, reports) = (Phase::Steady, IndexMap::new());
         Coordinator {
             fence,
             window,
-            settled,
+            committed,
             phase,
             reports,
             granted: 0,
@@ -99,27 +99,27 @@
         }
     }
 
-    /// Takes what the log says now.
-    pub fn settle(&mut self, settled: Settled) {
-        let same_map =
-            (settled.version, &settled.wanted) == (self.settled.version, &self.settled.wanted);
+    /// Adopts the state now committed to the log.
+    pub fn update_committed(&mut self, committed: CommittedState) {
+        let same_map = (committed.version, &committed.wanted)
+            == (self.committed.version, &self.committed.wanted);
         if !same_map {
             self.phase = Phase::Steady;
         }
-        if settled.reserved > self.settled.reserved {
+        if committed.reserved > self.committed.reserved {
             self.reserved_at = None;
         }
-        self.settled = settled;
+        self.committed = committed;
     }
 
-    /// Takes a rank's report; answers with what it needs.
-    pub fn report(&mut self, now: Duration, rank: RankId, report: RankReport) -> Vec<Action> {
-        let waited = !self.all_present(now);
+    /// Records a rank's report and returns the actions that follow from it.
+    pub fn on_report(&mut self, now: Duration, rank: RankId, report: RankReport) -> Vec<Action> {
+        let was_incomplete = !self.all_present(now);
         self.reports.insert(rank, (now, report));
         let mut actions = self.advance(now);
-        // Ranks that reported earlier were given nothing while this one was missing;
-        // their next report may be a second away.
-        let ranks: Vec<RankId> = match waited && self.all_present(now) {
+        // Ranks that reported earlier were granted nothing while this one was missing, and their
+        // next report may be up to a second away.
+        let ranks: Vec<RankId> = match was_incomplete && self.all_present(now) {
             true => self.reports.keys().copied().collect(),
             false => vec![rank],
         };
@@ -129,20 +129,20 @@
         actions
     }
 
-    /// Lets time pass.
+    /// Advances time.
     pub fn tick(&mut self, now: Duration) -> Vec<Action> {
         let mut actions = self.advance(now);
         actions.extend(self.reserve(now));
         actions
     }
 
-    /// Asks for more steps in good time, but not while a commit is on its way: the next
-    /// version starts at what was reserved before it.
+    /// Reserves further steps before the granted ones run out, but not while a commit is pending:
+    /// the next version starts at the end of what was reserved before it.
     fn reserve(&mut self, now: Duration) -> Option<Action> {
         let (_, slowest) = self.slowest().filter(|_| self.all_present(now))?;
-        let early = self.reserved_at.is_some_and(|at| now < at + AGAIN);
-        let enough = slowest + self.window + self.window / 2 <= self.settled.reserved;
-        if enough || early || matches!(self.phase, Phase::Committing(..)) {
+        let too_soon = self.reserved_at.is_some_and(|at| now < at + PROPOSE_RETRY);
+        let enough = slowest + self.window + self.window / 2 <= self.committed.reserved;
+        if enough || too_soon || matches!(self.phase, Phase::Committing(..)) {
             return None;
         }
         self.reserved_at = Some(now);
@@ -151,14 +151,14 @@
         })
     }
 
-    /// The rank that holds the group back, and its next step.
+    /// The slowest rank, which limits the whole group, and its next step.
     pub fn slowest(&self) -> Option<(RankId, Step)> {
         let steps = self.reports.iter().map(|(rank, (_, r))| (*rank, r.next));
         steps.min_by_key(|(_, next)| *next)
     }
 
     fn advance(&mut self, now: Duration) -> Vec<Action> {
-        let Some(version) = self.settled.wanted.as_ref().map(|(v, _)| *v) else {
+        let Some(version) = self.committed.wanted.as_ref().map(|(v, _)| *v) else {
             return Vec::new();
         };
         match self.phase {
@@ -167,7 +167,7 @@
                 Vec::new()
             }
             Phase::Preparing(since) => self.prepare(now, since, version),
-            Phase::Committing(from, at) if now >= at + AGAIN => {
+            Phase::Committing(from, at) if now >= at + PROPOSE_RETRY => {
                 self.phase = Phase::Committing(from, now);
                 vec![Action::Commit { version, from }]
             }
@@ -176,12 +176,12 @@
     }
 
     fn prepare(&mut self, now: Duration, since: Duration, version: Version) -> Vec<Action> {
-        // A report under this leader's own number says that the rank takes no more
-        // grants of an earlier leader: only then is what it has granted final.
+        // A report with this leader's fencing token shows that the rank no longer accepts grants of
+        // an earlier leader. Only then is the granted step that it reports final.
         let acked = |r: &RankReport| r.prepared == version && r.fence == self.fence;
-        // A rank that missed the last switch would run its steps on the one before
-        // it, and not notice once this one's grants reach it.
-        let ready = |r: &RankReport| acked(r) && r.version == self.settled.version;
+        // A rank that missed the last switch would run its steps on the map before it, and could no
+        // longer tell once grants of this switch arrive.
+        let ready = |r: &RankReport| acked(r) && r.version == self.committed.version;
         let all = self.all_present(now) && self.reports.values().all(|(_, r)| ready(r));
         if all {
             let granted = self
@@ -190,14 +190,14 @@
                 .map(|(_, r)| r.granted)
                 .max()
                 .unwrap_or(0);
-            let from = granted.max(self.granted).max(self.settled.reserved);
+            let from = granted.max(self.granted).max(self.committed.reserved);
             self.phase = Phase::Committing(from, now);
             return vec![Action::Commit { version, from }];
         }
-        let lost = now > since + SILENCE && !self.all_present(now);
+        let rank_lost = now > since + REPORT_TIMEOUT && !self.all_present(now);
         let reason = match () {
-            () if lost => "a rank fell silent before the commit",
-            () if now > since + PREPARE_WITHIN => "not prepared everywhere in time",
+            () if rank_lost => "a rank fell silent before the commit",
+            () if now > since + PREPARE_TIMEOUT => "not prepared everywhere in time",
             () => return Vec::new(),
         };
         vec![Action::Cancel {
@@ -207,33 +207,33 @@
     }
 
     fn all_present(&self, now: Duration) -> bool {
-        let heard = |(at, _): &&(Duration, RankReport)| now <= *at + SILENCE;
-        self.reports.values().filter(heard).count() == self.settled.ranks as usize
+        let is_recent = |(at, _): &&(Duration, RankReport)| now <= *at + REPORT_TIMEOUT;
+        self.reports.values().filter(is_recent).count() == self.committed.ranks as usize
     }
 
-    /// Orders for one rank: steps to run on, also while it prepares, so that the
-    /// group does not pause for the loading.
+    /// Orders for one rank. Grants continue while it prepares, so that loading does not pause the
+    /// group.
     fn orders_for(&mut self, now: Duration, rank: RankId) -> Vec<Action> {
         let Some((_, report)) = self.reports.get(&rank).cloned() else {
             return Vec::new();
         };
         let mut kinds = Vec::new();
-        if let (Some((version, map)), Phase::Preparing(_)) = (&self.settled.wanted, &self.phase)
+        if let (Some((version, map)), Phase::Preparing(_)) = (&self.committed.wanted, &self.phase)
             && (report.prepared != *version || report.fence != self.fence)
         {
             let (version, map) = (*version, map.clone());
             kinds.push(OrderKind::Prepare { version, map });
         }
-        if let Some(until) = self.horizon(now) {
+        if let Some(until) = self.grant_limit(now) {
             self.granted = self.granted.max(until);
-            let (version, from) = (self.settled.version, self.settled.from);
+            let (version, from) = (self.committed.version, self.committed.first_step);
             kinds.push(OrderKind::Grant {
                 version,
                 from,
                 until,
-                map: match report.version == self.settled.version {
+                map: match report.version == self.committed.version {
                     true => String::new(),
-                    false => self.settled.map.clone(),
+                    false => self.committed.map.clone(),
                 },
             });
         }
@@ -248,14 +248,14 @@
             .collect()
     }
 
-    /// How far ranks may run: a window past the slowest, never past a step at which
-    /// another version may start.
-    fn horizon(&self, now: Duration) -> Option<Step> {
+    /// First step that must not be granted: a window past the slowest rank, but never past a step
+    /// at which another version may start.
+    fn grant_limit(&self, now: Duration) -> Option<Step> {
         if !self.all_present(now) {
             return None;
         }
         let (_, slowest) = self.slowest()?;
-        let until = (slowest + self.window).min(self.settled.reserved);
+        let until = (slowest + self.window).min(self.committed.reserved);
         Some(match self.phase {
             Phase::Committing(from, _) => until.min(from),
             _ => until,
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -12,11 +12,11 @@
 pub mod switch_controller;
 
 pub use balance::{Costs, Estimate, Plan, plan, repack, skew, step_cost};
-pub use coordinator::{Action, Coordinator, Settled};
+pub use coordinator::{Action, CommittedState, Coordinator};
 pub use demand::{Demand, Loads};
 pub use discovery::{GroupName, Muster};
 pub use map::{ExpertMap, MapFault};
-pub use rank::{Order, OrderKind, OrderRefusal, Rank, RankReport};
+pub use rank::{Order, OrderKind, OrderRefusal, RankGate, RankReport};
 pub use rebalance::{Limits, lag, spread};
 
 /// Rank in a group, from 0.
--- a/crates/group/src/rank.rs
+++ b/crates/group/src/rank.rs
@@ -1,4 +1,4 @@
-//! The rank's end of a switch, at its agent: which orders reach the engine.
+//! Rank side of a switch, at its agent: decides which orders reach the engine.
 
 use crate::{Step, Version};
 use snafu::Snafu;
@@ -6,76 +6,76 @@
 /// An order to one rank.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
-    /// Fencing number of the leader that gives it.
+    /// Fencing token of the leader that sends it.
     pub fence: u64,
-    /// Start of the agent that it is meant for.
+    /// Incarnation of the agent that it is meant for.
     pub incarnation: u64,
     /// What to do.
     pub kind: OrderKind,
 }
 
-/// What an order asks.
+/// Content of an order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderKind {
-    /// Load what this version of the map needs.
+    /// Load the experts that this version of the map needs.
     Prepare {
         /// The version.
         version: Version,
-        /// The map, as text.
+        /// The map in text form.
         map: String,
     },
-    /// Run steps below `until`; from step `from` on with `version`.
+    /// Run steps below `until`; use `version` from step `from` on.
     Grant {
-        /// The settled version.
+        /// The committed version.
         version: Version,
         /// Its first step.
         from: Step,
         /// First step that is not granted.
         until: Step,
-        /// The map, as text, for a rank that may not have loaded it; else empty.
+        /// The map in text form for a rank that may not have loaded it; otherwise empty.
         map: String,
     },
 }
 
-/// Why an order does not reach the engine.
+/// Why an order is not passed to the engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum OrderRefusal {
-    /// A newer leader gave orders already, or none is known yet.
-    #[snafu(display("old fencing number"))]
-    OldFence,
-    /// Meant for an earlier start of this agent.
-    #[snafu(display("meant for an earlier start"))]
-    OtherStart,
+    /// A newer leader has already given orders, or no leader is known yet.
+    #[snafu(display("stale fencing token"))]
+    StaleFence,
+    /// The order is meant for an earlier incarnation of this agent.
+    #[snafu(display("meant for an earlier incarnation of the agent"))]
+    OtherIncarnation,
 }
 
-/// How a rank stands. The engine outlives its agent, so all but the first two are what
-/// the engine itself announced; `granted` counts what was ordered since as well.
+/// State of a rank. The engine outlives its agent, so all fields but the first two come from the
+/// engine's announcements; `granted` also includes orders since then.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RankReport {
-    /// Start of the agent.
+    /// Incarnation of the agent.
     pub incarnation: u64,
-    /// Highest fencing number seen.
+    /// Highest fencing token seen.
     pub fence: u64,
     /// Next step to run.
     pub next: Step,
     /// First step that is not granted.
     pub granted: Step,
-    /// Latest version of which it knows the first step.
+    /// Latest version whose first step it knows.
     pub version: Version,
     /// Latest version it has loaded.
     pub prepared: Version,
 }
 
-/// The gate before one rank's engine.
+/// Filters the orders to one rank's engine.
 #[derive(Debug, Clone, Default)]
-pub struct Rank {
+pub struct RankGate {
     report: RankReport,
 }
 
-impl Rank {
-    /// A rank whose agent just started.
-    pub fn new(incarnation: u64) -> Rank {
-        Rank {
+impl RankGate {
+    /// State of a rank whose agent has just started.
+    pub fn new(incarnation: u64) -> RankGate {
+        RankGate {
             report: RankReport {
                 incarnation,
                 ..RankReport::default()
@@ -83,17 +83,23 @@
         }
     }
 
-    /// Learns of a leader's fencing number, with a lease.
-    pub fn learn(&mut self, fence: u64) {
+    /// Records a leader's fencing token, received with a lease.
+    pub fn observe_fence(&mut self, fence: u64) {
         self.report.fence = self.report.fence.max(fence);
     }
 
-    /// Takes what the engine announces of itself. An engine that restarted has
-    /// nothing granted; what was granted to it before is forgotten with it.
-    pub fn announced(&mut self, next: Step, granted: Step, version: Version, prepared: Version) {
+    /// Records an announcement of the engine. An engine that restarted has no granted steps: its
+    /// earlier grants died with it.
+    pub fn on_announcement(
+        &mut self,
+        next: Step,
+        granted: Step,
+        version: Version,
+        prepared: Version,
+    ) {
         let r = &mut self.report;
         let restarted = granted < r.granted && next < r.next;
-        // An announcement lags behind the orders that were passed on.
+        // An announcement may be older than the latest orders passed on.
         r.granted = if restarted {
             granted
         } else {
@@ -102,16 +108,16 @@
         (r.next, r.version, r.prepared) = (next, version, prepared);
     }
 
-    /// Whether an order may reach the engine; if so it counts as carried out, since
-    /// the engine may act on it from now on.
-    pub fn order(&mut self, order: &Order) -> Result<(), OrderRefusal> {
-        // An agent that restarted knows no fencing number until its first lease: an
-        // old leader's order could slip through.
+    /// Whether an order may reach the engine. An accepted order counts as carried out, since the
+    /// engine may act on it at any time from then on.
+    pub fn admit(&mut self, order: &Order) -> Result<(), OrderRefusal> {
+        // After a restart the agent knows no fencing token until its first lease, and an earlier
+        // leader's order could pass.
         if order.fence < self.report.fence || self.report.fence == 0 {
-            return Err(OrderRefusal::OldFence);
+            return Err(OrderRefusal::StaleFence);
         }
         if order.incarnation != self.report.incarnation {
-            return Err(OrderRefusal::OtherStart);
+            return Err(OrderRefusal::OtherIncarnation);
         }
         self.report.fence = order.fence;
         if let OrderKind::Grant { until, .. } = order.kind {
@@ -120,7 +126,7 @@
         Ok(())
     }
 
-    /// How it stands.
+    /// State of the rank.
     pub fn report(&self) -> &RankReport {
         &self.report
     }
--- a/crates/group/tests/coordinator.rs
+++ b/crates/group/tests/coordinator.rs
@@ -3,7 +3,7 @@
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
-use bn_group::{Action, Coordinator, Order, OrderKind, RankId, RankReport, Settled, Step};
+use bn_group::{Action, CommittedState, Coordinator, Order, OrderKind, RankId, RankReport, Step};
 use googletest::prelude::*;
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 const WINDOW: Step = 600;
 
 /// Two ranks on version 1, with steps reserved below `reserved`.
-fn steady(reserved: Step) -> Settled {
-    Settled {
+fn steady(reserved: Step) -> CommittedState {
+    CommittedState {
         version: 1,
-        from: 0,
+        first_step: 0,
         map: "1".into(),
         wanted: None,
         reserved,
@@ -23,8 +23,8 @@
 }
 
 /// The same, with version 2 wanted.
-fn wanting(reserved: Step) -> Settled {
-    Settled {
+fn wanting(reserved: Step) -> CommittedState {
+    CommittedState {
         wanted: Some((2, "2".into())),
         ..steady(reserved)
     }
@@ -43,12 +43,12 @@
         ..Default::default()
     };
     let at = Duration::from_millis;
-    leader.report(at(0), 0, report(1));
-    leader.report(at(0), 1, report(1));
-    leader.report(at(1000), 0, report(2));
+    leader.on_report(at(0), 0, report(1));
+    leader.on_report(at(0), 1, report(1));
+    leader.on_report(at(1000), 0, report(2));
     expect_that!(leader.tick(at(2000)), is_empty());
 
-    leader.report(at(3500), 0, report(2));
+    leader.on_report(at(3500), 0, report(2));
     let actions = leader.tick(at(3600));
 
     expect_that!(actions.len(), eq(1));
@@ -60,9 +60,9 @@
 /// ready though it does not know where the version in force began.
 #[gtest]
 fn a_rank_that_missed_the_last_switch_is_not_ready_for_the_next() {
-    let settled = Settled {
+    let settled = CommittedState {
         version: 2,
-        from: 500,
+        first_step: 500,
         map: "2".into(),
         wanted: Some((3, "3".into())),
         ..steady(10_000)
@@ -85,10 +85,10 @@
     // The first look only notices that a map is wanted.
     leader.tick(now);
     let early = [
-        leader.report(now, 0, report(2)),
-        leader.report(now, 1, report(1)),
+        leader.on_report(now, 0, report(2)),
+        leader.on_report(now, 1, report(1)),
     ];
-    let ready = leader.report(now, 1, report(2));
+    let ready = leader.on_report(now, 1, report(2));
 
     expect_that!(early.map(commits), eq([0, 0]));
     expect_that!(commits(ready), eq(1));
@@ -106,8 +106,8 @@
     };
     let now = Duration::from_millis(10);
 
-    let first = leader.report(now, 0, report.clone());
-    let last = leader.report(now, 1, report);
+    let first = leader.on_report(now, 0, report.clone());
+    let last = leader.on_report(now, 1, report);
 
     expect_that!(first, is_empty());
     let told: Vec<RankId> = last
@@ -136,9 +136,9 @@
     };
     let now = Duration::from_millis(10);
     leader.tick(now);
-    leader.report(now, 0, report.clone());
+    leader.on_report(now, 0, report.clone());
 
-    let actions = leader.report(now, 1, report);
+    let actions = leader.on_report(now, 1, report);
 
     let from = actions.iter().find_map(|a| match a {
         Action::Commit { from, .. } => Some(*from),
@@ -160,8 +160,8 @@
         ..Default::default()
     };
     leader.tick(now);
-    leader.report(now, 0, ready);
-    let actions = leader.report(now, 1, report);
+    leader.on_report(now, 0, ready);
+    let actions = leader.on_report(now, 1, report);
     (leader, actions)
 }
 
@@ -194,15 +194,15 @@
     };
     let (mut leader, _) = with_second_rank(ready.clone());
     let reserved = wanting(9000);
-    leader.settle(reserved);
+    leader.update_committed(reserved);
     let far = RankReport {
         next: 1100,
         granted: 1200,
         ..ready
     };
-    leader.report(Duration::from_millis(20), 0, far.clone());
+    leader.on_report(Duration::from_millis(20), 0, far.clone());
 
-    let actions = leader.report(Duration::from_millis(20), 1, far);
+    let actions = leader.on_report(Duration::from_millis(20), 1, far);
 
     let until = actions.iter().find_map(|a| match a {
         Action::Send(
--- a/crates/group/tests/ranks.rs
+++ b/crates/group/tests/ranks.rs
@@ -2,15 +2,15 @@
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
-use bn_group::{Order, OrderKind, OrderRefusal, Rank};
+use bn_group::{Order, OrderKind, OrderRefusal, RankGate};
 use googletest::prelude::*;
 
 const ME: u64 = 7;
 
 /// A rank that knows fencing number 3.
-fn rank() -> Rank {
-    let mut rank = Rank::new(ME);
-    rank.learn(3);
+fn rank() -> RankGate {
+    let mut rank = RankGate::new(ME);
+    rank.observe_fence(3);
     rank
 }
 
@@ -32,9 +32,9 @@
 const ORDERS: [(u64, u64, std::result::Result<(), OrderRefusal>); 5] = [
     (3, ME, Ok(())),
     (4, ME, Ok(())),
-    (2, ME, Err(OrderRefusal::OldFence)),
-    (3, ME - 1, Err(OrderRefusal::OtherStart)),
-    (4, ME - 1, Err(OrderRefusal::OtherStart)),
+    (2, ME, Err(OrderRefusal::StaleFence)),
+    (3, ME - 1, Err(OrderRefusal::OtherIncarnation)),
+    (4, ME - 1, Err(OrderRefusal::OtherIncarnation)),
 ];
 
 /// Symptom: an engine that ignores fencing numbers obeys a deposed leader. Sequence: an
@@ -45,7 +45,7 @@
     for (fence, incarnation, outcome) in ORDERS {
         let mut rank = rank();
 
-        let got = rank.order(&grant(fence, incarnation));
+        let got = rank.admit(&grant(fence, incarnation));
 
         expect_that!(got, eq(outcome), "fence {fence}, start {incarnation}");
         let granted = if outcome.is_ok() { 900 } else { 0 };
@@ -57,9 +57,9 @@
 /// before its first lease.
 #[gtest]
 fn before_its_first_lease_an_agent_passes_no_order_on() {
-    let mut rank = Rank::new(ME);
+    let mut rank = RankGate::new(ME);
 
-    expect_that!(rank.order(&grant(9, ME)), err(eq(OrderRefusal::OldFence)));
+    expect_that!(rank.admit(&grant(9, ME)), err(eq(OrderRefusal::StaleFence)));
 }
 
 /// Symptom: a switch is committed within steps that a rank already runs. Sequence: an
@@ -69,11 +69,11 @@
 fn a_restarted_agent_reports_what_its_engine_was_granted() {
     let mut rank = rank();
 
-    rank.announced(100, 900, 1, 1);
+    rank.on_announcement(100, 900, 1, 1);
     expect_that!(rank.report().granted, eq(900));
 
     // An announcement that was made before the next order must not take it back.
-    rank.order(&Order {
+    rank.admit(&Order {
         kind: OrderKind::Grant {
             version: 1,
             from: 0,
@@ -83,6 +83,6 @@
         ..grant(3, ME)
     })
     .unwrap();
-    rank.announced(150, 900, 1, 1);
+    rank.on_announcement(150, 900, 1, 1);
     expect_that!(rank.report().granted, eq(1200));
 }
--- a/crates/group/tests/switches.rs
+++ b/crates/group/tests/switches.rs
@@ -3,7 +3,9 @@
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
-use bn_group::{Action, Coordinator, Order, OrderKind, Rank, RankId, Settled, Step, Version};
+use bn_group::{
+    Action, CommittedState, Coordinator, Order, OrderKind, RankGate, RankId, Step, Version,
+};
 use googletest::prelude::*;
 use proptest::prelude::{Just, Strategy, any, prop_oneof};
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
@@ -87,9 +89,9 @@
     rng: SmallRng,
     now: Duration,
     engines: Vec<Engine>,
-    ranks: Vec<Rank>,
+    ranks: Vec<RankGate>,
     leaders: Vec<Coordinator>,
-    settled: Settled,
+    settled: CommittedState,
     mail: Vec<(u32, Mail)>,
     /// Commits on their way into the log: ticks left, proposer, version, step.
     commits: Vec<(u32, usize, Version, Step)>,
@@ -104,9 +106,9 @@
 
 impl World {
     fn new(seed: u64, odds: Odds) -> World {
-        let settled = Settled {
+        let settled = CommittedState {
             version: 1,
-            from: 0,
+            first_step: 0,
             map: "1".into(),
             wanted: None,
             reserved: 0,
@@ -122,7 +124,7 @@
                     ..Engine::default()
                 })
                 .collect(),
-            ranks: (1..=u64::from(RANKS)).map(Rank::new).collect(),
+            ranks: (1..=u64::from(RANKS)).map(RankGate::new).collect(),
             leaders: Vec::new(),
             settled,
             mail: Vec::new(),
@@ -175,10 +177,10 @@
             }
             Act::Agent(r) => {
                 self.incarnation += 1;
-                let mut rank = Rank::new(self.incarnation);
+                let mut rank = RankGate::new(self.incarnation);
                 // The entry that gave the lease may lag behind an election.
                 let lag = self.rng.random_range(0..=u64::from(self.odds.leases_lag));
-                rank.learn(self.fence().saturating_sub(lag).max(1));
+                rank.observe_fence(self.fence().saturating_sub(lag).max(1));
                 self.ranks[r as usize] = rank;
             }
             Act::Stall(r, ticks) => self.engines[r as usize].stalled = u32::from(ticks),
@@ -202,12 +204,12 @@
                 // Leases carry the number; they reach ranks at different times.
                 if self.rng.random_range(0..100) < LEASE_PERCENT {
                     let fence = self.fence();
-                    self.ranks[r as usize].learn(fence);
+                    self.ranks[r as usize].observe_fence(fence);
                 }
                 self.step_engine(r)?;
                 let e = self.engines[r as usize].clone();
                 let version = e.maps.keys().last().copied().unwrap_or(0);
-                self.ranks[r as usize].announced(e.next, e.granted, version, e.prepared);
+                self.ranks[r as usize].on_announcement(e.next, e.granted, version, e.prepared);
                 for leader in self.active() {
                     self.post(Mail::Report(leader, r));
                 }
@@ -262,7 +264,7 @@
                 Mail::Report(leader, _) if !self.active().contains(&leader) => {}
                 Mail::Report(leader, r) => {
                     let report = self.ranks[r as usize].report().clone();
-                    let actions = self.leaders[leader].report(self.now, r, report);
+                    let actions = self.leaders[leader].on_report(self.now, r, report);
                     self.carry_out(leader, actions);
                 }
                 Mail::Order(r, order) => self.order(r, &order),
@@ -282,9 +284,9 @@
             match wanted {
                 Some((_, map)) if latest => {
                     let (ranks, reserved) = (RANKS, self.settled.reserved);
-                    self.settled = Settled {
+                    self.settled = CommittedState {
                         version,
-                        from,
+                        first_step: from,
                         map,
                         wanted: None,
                         reserved,
@@ -296,12 +298,12 @@
         }
         let settled = self.settled.clone();
         if let Some(latest) = self.leaders.last_mut() {
-            latest.settle(settled);
+            latest.update_committed(settled);
         }
     }
 
     fn order(&mut self, r: RankId, order: &Order) {
-        if self.ranks[r as usize].order(order).is_err() {
+        if self.ranks[r as usize].admit(order).is_err() {
             return;
         }
         let engine = &mut self.engines[r as usize];
@@ -355,7 +357,7 @@
         e.stalled = 0;
     }
     for rank in &mut world.ranks {
-        rank.learn(world.leaders.len() as u64);
+        rank.observe_fence(world.leaders.len() as u64);
     }
     world.settled.wanted = None;
     world.run(200)?;
@@ -430,7 +432,7 @@
     let before = world.engines[0].next;
     world.settled.wanted = Some((2, "2".into()));
     let settled = world.settled.clone();
-    world.leaders[0].settle(settled);
+    world.leaders[0].update_committed(settled);
 
     // The orders to rank 2 are lost, so it never prepares.
     for _ in 0..40 {
--- a/crates/node/src/agent/mod.rs
+++ b/crates/node/src/agent/mod.rs
@@ -14,7 +14,7 @@
 use bn_backpressure::{Answer, Share, Terms};
 use bn_claim::{FULL, Gate, RunKey};
 use bn_conf::Agent as Conf;
-use bn_group::{Order, OrderKind, Rank};
+use bn_group::{Order, OrderKind, RankGate};
 use bn_wire::messages::envelope::Body;
 use bn_wire::messages::finish::Kind;
 use bn_wire::messages::switch_order::Kind as OrderWire;
@@ -73,7 +73,7 @@
     /// Whether it took requests when entries were told last.
     told_open: bool,
     /// The engine's place in its group.
-    rank: Rank,
+    rank: RankGate,
     orders: Sender<orders::Errand>,
     /// Where the control leader listens.
     leader: Option<SocketAddr>,
@@ -105,7 +105,7 @@
             gate: Gate::default(),
             terms: Terms::default(),
             told_open: true,
-            rank: Rank::new(common.net.incarnation()),
+            rank: RankGate::new(common.net.incarnation()),
             orders: orders::start(common.events.clone()),
             common,
             leader: None,
@@ -207,7 +207,7 @@
             .is_none_or(|b| b.leaving != announcement.leaving);
         if let Some(s) = &announcement.steps {
             self.rank
-                .announced(s.next, s.granted, s.version, s.prepared);
+                .on_announcement(s.next, s.granted, s.version, s.prepared);
         }
         self.gate.backend_leaving = announcement.leaving;
         self.gate.capacity = announcement.capacity;
@@ -284,7 +284,7 @@
             return;
         };
         let Some(order) = order_in(raw) else { return };
-        if let Err(refusal) = self.rank.order(&order) {
+        if let Err(refusal) = self.rank.admit(&order) {
             metrics::counter!("orders_refused").increment(1);
             return log::warn!("order refused: {refusal}");
         }
--- a/crates/node/src/agent/report.rs
+++ b/crates/node/src/agent/report.rs
@@ -41,7 +41,7 @@
         if before != (self.gate.drained, self.gate.leased(now)) {
             self.report(true);
         }
-        self.rank.learn(lease.fence);
+        self.rank.observe_fence(lease.fence);
         self.leader = lease.leader.parse().ok().or(self.leader);
         self.follow_entries(lease);
     }
--- a/crates/node/src/control/groups.rs
+++ b/crates/node/src/control/groups.rs
@@ -2,7 +2,7 @@
 //! commits to the log.
 
 use super::Control;
-use bn_group::{Action, Coordinator, Order, OrderKind, RankReport, Settled};
+use bn_group::{Action, CommittedState, Coordinator, Order, OrderKind, RankReport};
 use bn_state::{Command, Group, LEADER};
 use bn_wire::messages::envelope::Body;
 use bn_wire::messages::switch_order::Kind;
@@ -55,7 +55,7 @@
             version: report.version,
             prepared: report.prepared,
         };
-        let actions = coordinator.report(now, report.rank, rank);
+        let actions = coordinator.on_report(now, report.rank, rank);
         self.carry_out(&report.group, actions);
     }
 
@@ -78,7 +78,7 @@
         for (name, group) in groups {
             let settled = settled(group);
             match self.groups.coordinators.get_mut(name) {
-                Some(coordinator) => coordinator.settle(settled),
+                Some(coordinator) => coordinator.update_committed(settled),
                 None => {
                     let steps = self.grant_steps;
                     let fresh = Coordinator::new(self.groups.fence, steps, settled);
@@ -129,10 +129,10 @@
     }
 }
 
-fn settled(group: &Group) -> Settled {
-    Settled {
+fn settled(group: &Group) -> CommittedState {
+    CommittedState {
         version: group.map_version,
-        from: group.map_step,
+        first_step: group.map_step,
         map: group.map.to_string(),
         wanted: group
             .wanted
