--- a/crates/cli/src/cmd/bench/group.rs
+++ b/crates/cli/src/cmd/bench/group.rs
@@ -118,7 +118,7 @@
         skew_weight,
         move_weight,
     };
-    let mut map = ExpertMap::even(args.layers, args.experts, ranks);
+    let mut map = ExpertMap::round_robin(args.layers, args.experts, ranks);
     let mut estimate = Estimate::default();
     let mut o = Outcome {
         skews: Vec::new(),
@@ -140,7 +140,7 @@
         };
         o.decision = o.decision.max(start.elapsed());
         if let Some(next) = next {
-            let loaded = map.loads(&next);
+            let loaded = map.copies_to_load(&next);
             o.loads += loaded;
             o.pause += loaded as f64 * LOAD_SECONDS;
             map = next;
--- a/crates/coordinator/src/asks.rs
+++ b/crates/coordinator/src/asks.rs
@@ -2,7 +2,7 @@
 
 use crate::relays::About;
 use bn_group::ExpertMap;
-use bn_group::switch_controller::{self, Ask, Command, Reply, View};
+use bn_group::switch_controller::{self, Command, EngineReport, EngineRequest, Reply};
 use bn_platform::engine::{self, Operation, RankedMap};
 use bn_wire::messages::{EngineAsk, PrepareOrder};
 use std::net::SocketAddr;
@@ -20,12 +20,14 @@
 
 impl Written {
     /// Path and body of a call to an engine, and what reads its answer.
-    pub(crate) fn call(&mut self, ask: Ask) -> (&'static str, Option<Vec<u8>>, Read) {
+    pub(crate) fn call(&mut self, ask: EngineRequest) -> (&'static str, Option<Vec<u8>>, Read) {
         match ask {
-            Ask::Report | Ask::Look | Ask::Copied(_) => (engine::REPORT, None, read_report),
-            Ask::Counts => (engine::PICKED, None, read_counts),
-            Ask::List => (engine::LISTS, None, read_lists),
-            Ask::Order(command, epoch, token) => {
+            EngineRequest::Report | EngineRequest::Poll | EngineRequest::ReportWhenCopied(_) => {
+                (engine::REPORT, None, read_report)
+            }
+            EngineRequest::Counts => (engine::PICKED, None, read_counts),
+            EngineRequest::List => (engine::LISTS, None, read_lists),
+            EngineRequest::Order(command, epoch, token) => {
                 let operation = match command {
                     Command::Prepare(version, map) => self
                         .ranked(&map)
@@ -84,8 +86,8 @@
         relay: relay.to_string(),
         ..EngineAsk::default()
     };
-    let about = match &call.ask {
-        Ask::Order(Command::Prepare(version, _), epoch, token) => {
+    let about = match &call.request {
+        EngineRequest::Order(Command::Prepare(version, _), epoch, token) => {
             ask.prepare = Some(PrepareOrder {
                 version: *version,
                 epoch: *epoch,
@@ -93,20 +95,20 @@
             });
             About::Order
         }
-        Ask::Order(command, epoch, token) => {
+        EngineRequest::Order(command, epoch, token) => {
             let body = operation(command).map(|o| engine::order(o, *epoch, *token));
             ask.order = body.unwrap_or_default();
             About::Held
         }
-        Ask::Copied(version) => {
+        EngineRequest::ReportWhenCopied(version) => {
             ask.copied = *version;
             About::Copies
         }
-        Ask::Look => {
+        EngineRequest::Poll => {
             ask.counts = counts;
             About::Look
         }
-        Ask::Report | Ask::Counts | Ask::List => About::Look,
+        EngineRequest::Report | EngineRequest::Counts | EngineRequest::List => About::Look,
     };
     (ask, about)
 }
@@ -146,7 +148,7 @@
 
 fn read_report(status: u16, body: &[u8]) -> Reply {
     match (status, engine::report(body)) {
-        (200, Ok(r)) => Reply::View(View {
+        (200, Ok(r)) => Reply::Report(EngineReport {
             group: r.group,
             epoch: r.epoch,
             rank: r.rank,
@@ -157,9 +159,9 @@
             prepared: r.prepared,
             armed: r.armed,
             held: r.held,
-            pace: r.pace,
+            slowdown: r.pace,
             fresh: false,
-            lately: None,
+            recent_counts: None,
         }),
         _ => Reply::Odd,
     }
--- a/crates/coordinator/src/carry.rs
+++ b/crates/coordinator/src/carry.rs
@@ -6,7 +6,7 @@
 use crate::relays::{self, About, GroupId};
 use crate::ring::Event;
 use bn_engine::{Answer, Call, What};
-use bn_group::switch_controller::{self, Ask, Command, Pilot, Reply};
+use bn_group::switch_controller::{self, Command, EngineRequest, Reply, SwitchController};
 use bn_wire::messages::envelope::Body;
 use bn_wire::messages::{EngineAnswers, EngineAsks};
 use serde_json::json;
@@ -29,12 +29,16 @@
     ) {
         let port = self.inbox.port();
         let count = calls.len();
-        let ranks = self.groups.pilots.get(group).map_or(0, Pilot::ranks);
+        let ranks = self
+            .groups
+            .pilots
+            .get(group)
+            .map_or(0, SwitchController::rank_count);
         let mut beside = Vec::new();
         for (at, call) in calls.into_iter().enumerate() {
             let record = self.registry.get(&call.engine);
             let Some((record, address)) = record.and_then(|r| Some((r, r.address?))) else {
-                self.hand_back(group, call.call, Reply::Silent);
+                self.hand_back(group, call.id, Reply::Silent);
                 continue;
             };
             let domain = record.domain.clone();
@@ -85,8 +89,8 @@
 
     /// The map that orders among these are about, packed; they are all about the same.
     fn map_of(&mut self, calls: &[Beside]) -> Vec<u8> {
-        let map = calls.iter().find_map(|b| match &b.call.ask {
-            Ask::Order(Command::Prepare(_, map), ..) => Some(map.clone()),
+        let map = calls.iter().find_map(|b| match &b.call.request {
+            EngineRequest::Order(Command::Prepare(_, map), ..) => Some(map.clone()),
             _ => None,
         });
         map.map_or_else(Vec::new, |map| self.groups.written.packed(&map))
@@ -125,8 +129,7 @@
             let (ask, about) = engine_ask(number, *relay, call, *counts);
             asks.asks.push(ask);
             let to = (*relay, head);
-            self.relays
-                .asked(now, number, (group, call.call), to, about);
+            self.relays.asked(now, number, (group, call.id), to, about);
         }
         self.net.send(head, Body::EngineAsks(asks));
     }
@@ -137,9 +140,9 @@
         address: SocketAddr,
         call: switch_controller::Call,
     ) {
-        let (path, body, read) = self.groups.written.call(call.ask);
+        let (path, body, read) = self.groups.written.call(call.request);
         let (ring, group) = (self.ring.clone(), group.clone());
-        let number = call.call;
+        let number = call.id;
         let done = move |answer: Answer| {
             let reply = answer.map_or(Reply::Silent, |(status, body)| read(status, &body));
             ring.put(Event::Called(group, number, reply));
@@ -228,17 +231,17 @@
 /// by way of a relay that it hears. Else a group that is held stands until the leader can open
 /// connections again.
 pub fn way(call: &switch_controller::Call, ranks: usize) -> Way {
-    let by_relay = match &call.ask {
-        Ask::Report | Ask::Look | Ask::Copied(_) => true,
-        Ask::Order(command, ..) => match command {
+    let by_relay = match &call.request {
+        EngineRequest::Report | EngineRequest::Poll | EngineRequest::ReportWhenCopied(_) => true,
+        EngineRequest::Order(command, ..) => match command {
             Command::Prepare(..) => true,
             Command::Arm(..) | Command::Disarm(..) => ranks > MANY,
             Command::Hold(..) | Command::Go(..) => false,
         },
         // Relays do not take these.
-        Ask::Counts | Ask::List => return Way::Straight,
+        EngineRequest::Counts | EngineRequest::List => return Way::Straight,
     };
-    match (call.tries % WAYS, by_relay) {
+    match (call.attempt % WAYS, by_relay) {
         (0, _) => Way::Around,
         (1, true) | (2, false) => Way::Relay,
         _ => Way::Straight,
--- a/crates/coordinator/src/groups.rs
+++ b/crates/coordinator/src/groups.rs
@@ -1,11 +1,13 @@
 //! Balancing of lock-step groups, by the leader alone: carries the calls of each group's
-//! [`Pilot`] to the engines and their replies back.
+//! [`SwitchController`] to the engines and their replies back.
 
 use crate::asks::Written;
 use crate::core::Core;
 use crate::relays::GroupId;
-use bn_group::Muster;
-use bn_group::switch_controller::{self, EngineId, Note, Pilot, Reply, Shape, Used, View};
+use bn_group::GroupDiscovery;
+use bn_group::switch_controller::{
+    self, EngineId, EngineReport, Reply, Shape, SwitchController, SwitchEvent, UsedNumbers,
+};
 use bn_quorum::Role;
 use indexmap::IndexMap;
 use serde_json::json;
@@ -25,12 +27,12 @@
     /// Services whose engines share experts.
     shapes: IndexMap<String, Shape>,
     /// Who forms which group, by service.
-    musters: IndexMap<String, Muster>,
-    pub(crate) pilots: IndexMap<GroupId, Pilot>,
+    musters: IndexMap<String, GroupDiscovery>,
+    pub(crate) pilots: IndexMap<GroupId, SwitchController>,
     /// Change of the registrations that musters know.
     mark: u64,
     /// The most that pilots of this term have used.
-    used: Used,
+    used: UsedNumbers,
     pub(crate) written: Written,
 }
 
@@ -49,7 +51,7 @@
             self.groups.term = term;
             self.groups.pilots.clear();
             self.groups.musters.clear();
-            self.groups.used = Used::default();
+            self.groups.used = UsedNumbers::default();
         }
         self.read_shapes();
         for (service, shape) in self.groups.shapes.clone() {
@@ -70,11 +72,13 @@
         let groups = &mut self.groups;
         let first = MUSTER_CALLS.wrapping_add(groups.term * PER_TERM);
         let muster = groups.musters.entry(service.into());
-        let muster = muster.or_insert_with(|| Muster::new(first));
+        let muster = muster.or_insert_with(|| GroupDiscovery::new(first));
         let pilots = &groups.pilots;
         let unsure = |name: &str| {
             let id = group_id(service, name);
-            pilots.get(&id).is_none_or(Pilot::is_unsure)
+            pilots
+                .get(&id)
+                .is_none_or(SwitchController::needs_discovery)
         };
         let calls = muster.tick(now, &engines, unsure);
         if !calls.is_empty() {
@@ -87,7 +91,7 @@
         let Some(muster) = self.groups.musters.get(service) else {
             return;
         };
-        let mut names = muster.whole().to_vec();
+        let mut names = muster.complete_groups().to_vec();
         // One that lacks a rank may be held by its pilot, which must be able to end that.
         let steered = self.groups.pilots.keys().filter(|g| g.service == service);
         names.extend(steered.map(|g| g.name.clone()));
@@ -111,31 +115,31 @@
         now: Duration,
         id: &GroupId,
         shape: Shape,
-        members: IndexMap<EngineId, View>,
+        members: IndexMap<EngineId, EngineReport>,
     ) -> Vec<switch_controller::Call> {
         let groups = &mut self.groups;
         if !groups.pilots.contains_key(id) {
-            let mut pilot = Pilot::new(groups.term, shape);
-            pilot.go_above(groups.used);
-            let calls = pilot.begin(now, members);
-            groups.used = groups.used.or(pilot.used());
+            let mut pilot = SwitchController::new(groups.term, shape);
+            pilot.skip_past(groups.used);
+            let calls = pilot.start(now, members);
+            groups.used = groups.used.max(pilot.used_numbers());
             groups.pilots.insert(id.clone(), pilot);
             return calls;
         }
         let Some(pilot) = groups.pilots.get_mut(id) else {
             return Vec::new();
         };
-        pilot.go_above(groups.used);
+        pilot.skip_past(groups.used);
         let engines: Vec<EngineId> = members.into_keys().collect();
         let calls = pilot.tick(now, &engines);
-        groups.used = groups.used.or(pilot.used());
+        groups.used = groups.used.max(pilot.used_numbers());
         calls
     }
 
     pub(crate) fn on_called(&mut self, now: Duration, group: &GroupId, call: u64, reply: Reply) {
         let odd = match reply {
             Reply::Conflict | Reply::Fenced | Reply::Odd | Reply::Silent => Some(reply.clone()),
-            Reply::Done | Reply::View(_) | Reply::Counts(..) | Reply::List(..) => None,
+            Reply::Done | Reply::Report(_) | Reply::Counts(..) | Reply::List(..) => None,
         };
         if let Some(odd) = odd {
             let fields = json!({
@@ -151,8 +155,8 @@
             return;
         };
         let calls = pilot.reply(now, call, reply);
-        self.groups.used = self.groups.used.or(pilot.used());
-        let (notes, paces) = (pilot.notes(), pilot.take_paces());
+        self.groups.used = self.groups.used.max(pilot.used_numbers());
+        let (notes, paces) = (pilot.take_events(), pilot.take_slowdowns());
         for note in notes {
             self.note_group(group, &note);
         }
@@ -197,11 +201,11 @@
         }
     }
 
-    fn note_group(&self, group: &GroupId, note: &Note) {
+    fn note_group(&self, group: &GroupId, note: &SwitchEvent) {
         let (before, after) = note.skew.map_or((None, None), |(b, a)| (Some(b), Some(a)));
         let fields = json!({
             "service": group.service, "group": group.name, "number": note.number, "term": self.groups.term,
-            "skew_before": before, "skew_after": after, "slowest_pace": note.pace,
+            "skew_before": before, "skew_after": after, "slowest_pace": note.max_slowdown,
         });
         self.lines.put(note.event, fields);
     }
@@ -220,9 +224,9 @@
         let shape = Shape {
             sets: experts.sets,
             experts: experts.experts,
-            places: experts.places,
-            spare: experts.spare,
-            copy: Duration::from_secs_f64(experts.copy_s.clamp(0.0, 60.0)),
+            slots: experts.places,
+            new_per_set: experts.spare,
+            copy_time: Duration::from_secs_f64(experts.copy_s.clamp(0.0, 60.0)),
         };
         Some((s.name.clone(), shape))
     });
--- a/crates/coordinator/src/relays.rs
+++ b/crates/coordinator/src/relays.rs
@@ -9,7 +9,7 @@
 //! dead, or cut off, shows by an ask without an answer: then its engine is called straight
 //! for a while.
 
-use bn_group::switch_controller::{Reply, View};
+use bn_group::switch_controller::{EngineReport, Reply};
 use bn_wire::messages::{EngineAnswer, EngineView};
 use indexmap::IndexMap;
 use std::net::{IpAddr, SocketAddr};
@@ -232,16 +232,16 @@
     match (about, answer.view) {
         _ if silent => Reply::Silent,
         (About::Order | About::Held, _) => crate::asks::read_status(answer.status),
-        (_, Some(seen)) => Reply::View(View {
-            lately,
+        (_, Some(seen)) => Reply::Report(EngineReport {
+            recent_counts: lately,
             ..view(seen)
         }),
         (_, None) => Reply::Odd,
     }
 }
 
-fn view(seen: EngineView) -> View {
-    View {
+fn view(seen: EngineView) -> EngineReport {
+    EngineReport {
         group: seen.group,
         epoch: seen.epoch,
         rank: seen.rank,
@@ -252,8 +252,8 @@
         prepared: seen.prepared,
         armed: seen.armed,
         held: seen.held,
-        pace: seen.pace,
+        slowdown: seen.pace,
         fresh: true,
-        lately: None,
+        recent_counts: None,
     }
 }
--- a/crates/coordinator/tests/relays.rs
+++ b/crates/coordinator/tests/relays.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
 use bn_coordinator::{About, GroupId, Relays, Way, is_counted, part, parts, way};
-use bn_group::switch_controller::{Ask, Call, Command};
+use bn_group::switch_controller::{Call, Command, EngineRequest};
 use googletest::prelude::*;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,17 +18,17 @@
     Duration::from_millis(ms)
 }
 
-fn call(ask: Ask, tries: u32) -> Call {
+fn call(ask: EngineRequest, tries: u32) -> Call {
     Call {
-        call: 1,
+        id: 1,
         engine: "e1".into(),
-        tries,
-        ask,
+        attempt: tries,
+        request: ask,
     }
 }
 
-fn order(command: Command) -> Ask {
-    Ask::Order(command, 1, 1)
+fn order(command: Command) -> EngineRequest {
+    EngineRequest::Order(command, 1, 1)
 }
 
 /// Symptom: a group stands still for as long as one machine is frozen. Sequence: the relay
@@ -48,7 +48,7 @@
     }
     let prepare = order(Command::Prepare(2, Default::default()));
     expect_that!(way(&call(prepare, 1), 16), eq(Way::Relay));
-    expect_that!(way(&call(Ask::Look, 1), 16), eq(Way::Relay));
+    expect_that!(way(&call(EngineRequest::Poll, 1), 16), eq(Way::Relay));
 }
 
 /// Symptom: a group stands still for seconds under a leader that is well. Sequence: new
@@ -57,14 +57,14 @@
 #[googletest::test]
 fn each_further_try_goes_another_way() {
     use Way::{Around, Relay, Straight};
-    let ways = |ask: Ask| [1, 2, 3, 4, 5].map(|tries| way(&call(ask.clone(), tries), 1));
+    let ways = |ask: EngineRequest| [1, 2, 3, 4, 5].map(|tries| way(&call(ask.clone(), tries), 1));
 
     expect_that!(
         ways(order(Command::Go(9))),
         eq([Straight, Relay, Around, Straight, Relay])
     );
     expect_that!(
-        ways(Ask::Look),
+        ways(EngineRequest::Poll),
         eq([Relay, Straight, Around, Relay, Straight])
     );
 }
--- a/crates/group/src/balance.rs
+++ b/crates/group/src/balance.rs
@@ -1,25 +1,25 @@
-//! When and how to move experts. An exponentially weighted estimate of each expert's
-//! load; replicas for hot experts and single moves in place of full repacks; a move
-//! is made only if the steps it saves over a horizon outweigh its pause.
+//! Decides when and how to move experts. Keeps an exponentially weighted estimate of each expert's
+//! load, and prefers replicas of hot experts and single moves to full repacks. A move is made only
+//! if the step time it saves over a horizon outweighs the pause it causes.
 
 use crate::RankId;
 use crate::map::ExpertMap;
 
-/// Moves of one plan at most, so that a pause stays short.
-const MOST_MOVES: usize = 64;
-/// A plan must promise this much more than it costs: loads are estimates, and a move
-/// back costs as much again.
+/// Maximum number of copies that one plan loads, which keeps the pause short.
+const MAX_MOVES: usize = 64;
+/// A plan must gain more than this many times its cost: loads are estimates, and moving back costs
+/// as much again.
 const HYSTERESIS: f64 = 1.5;
 
-/// Load of each expert of each layer, smoothed.
+/// Smoothed load of each expert of each layer.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Estimate {
-    /// By layer and expert, in tokens a step.
+    /// By layer and expert, in tokens per step.
     pub layers: Vec<Vec<f64>>,
 }
 
 impl Estimate {
-    /// Takes in a window's counts with weight `alpha` from 0 to 1.
+    /// Adds a window's counts with weight `alpha`, from 0 to 1.
     pub fn update(&mut self, counts: &[Vec<f64>], alpha: f64) {
         if self.layers.len() != counts.len() {
             self.layers = counts.to_vec();
@@ -33,39 +33,39 @@
     }
 }
 
-/// What gains and moves are worth.
+/// Weights by which gains and moves are compared.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Costs {
     /// Ranks of the group.
     pub ranks: usize,
-    /// Copies of experts a rank can hold in one layer.
+    /// Copies of experts that a rank can hold in one layer.
     pub slots: usize,
-    /// Seconds of a step that one token on the busiest rank of a layer costs.
+    /// Seconds by which one token on the busiest rank of a layer lengthens a step.
     pub token_seconds: f64,
-    /// Steps over which a better map is expected to last.
+    /// Number of steps for which a better map is expected to stay useful.
     pub horizon_steps: f64,
-    /// Seconds of pause that loading one copy costs the group.
+    /// Seconds for which loading one copy pauses the group.
     pub load_seconds: f64,
-    /// The service's weight of skew.
+    /// The service's weight for skew.
     pub skew_weight: f64,
-    /// The service's weight of pauses.
+    /// The service's weight for pauses.
     pub move_weight: f64,
 }
 
-/// A better map and what it is worth.
+/// A better map, with its gain and cost.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
     /// The map.
     pub map: ExpertMap,
     /// Copies to load.
-    pub loads: usize,
+    pub copies: usize,
     /// Weighted seconds saved over the horizon.
     pub gain: f64,
     /// Weighted seconds of pause.
     pub cost: f64,
 }
 
-/// Load of each rank in one layer; copies share an expert's load evenly.
+/// Load of each rank in one layer. The copies of an expert share its load evenly.
 fn rank_loads(layer: &[Vec<RankId>], loads: &[f64], ranks: usize) -> Vec<f64> {
     let mut sums = vec![0.0; ranks];
     for (holders, load) in layer.iter().zip(loads) {
@@ -82,7 +82,7 @@
     sums.iter().copied().fold(0.0, f64::max)
 }
 
-/// Tokens on the busiest rank, summed over layers: what sets a step's time.
+/// Tokens on the busiest rank, summed over layers; these determine the time of a step.
 pub fn step_cost(map: &ExpertMap, loads: &[Vec<f64>], ranks: usize) -> f64 {
     let layers = map.layers.iter().zip(loads);
     layers
@@ -90,7 +90,7 @@
         .sum()
 }
 
-/// Busiest rank over mean rank, over all layers; 1 is even.
+/// Load of the busiest rank over the mean, over all layers; 1 means perfectly balanced.
 pub fn skew(map: &ExpertMap, loads: &[Vec<f64>], ranks: usize) -> f64 {
     let mean: f64 = loads.iter().flatten().sum::<f64>() / ranks.max(1) as f64;
     if mean > 0.0 {
@@ -100,19 +100,18 @@
     }
 }
 
-/// The best plan found, if one pays. Works on the layers in turn, and in each takes
-/// the change that lowers its busiest rank most, as long as that change pays by
-/// itself.
+/// The best plan found, if it pays off. In each layer in turn, repeatedly applies the change that
+/// lowers its busiest rank most, as long as that change pays off by itself.
 pub fn plan(map: &ExpertMap, estimate: &Estimate, costs: &Costs) -> Option<Plan> {
     let mut next = map.clone();
     let mut moves = 0;
-    let pays = |saved: f64, loads: usize| {
+    let pays = |saved: f64, copies: usize| {
         let gain = saved * costs.token_seconds * costs.horizon_steps * costs.skew_weight;
-        let cost = loads as f64 * costs.load_seconds * costs.move_weight;
+        let cost = copies as f64 * costs.load_seconds * costs.move_weight;
         gain > cost * HYSTERESIS
     };
     for (layer, loads) in next.layers.iter_mut().zip(&estimate.layers) {
-        while moves < MOST_MOVES {
+        while moves < MAX_MOVES {
             let Some((changed, saved, loaded)) = best_change(layer, loads, costs) else {
                 break;
             };
@@ -123,14 +122,14 @@
             *layer = changed;
         }
     }
-    let loads = map.loads(&next);
+    let copies = map.copies_to_load(&next);
     let saved = step_cost(map, &estimate.layers, costs.ranks)
         - step_cost(&next, &estimate.layers, costs.ranks);
     let gain = saved * costs.token_seconds * costs.horizon_steps * costs.skew_weight;
-    let cost = loads as f64 * costs.load_seconds * costs.move_weight;
-    (loads > 0 && gain > cost * HYSTERESIS).then_some(Plan {
+    let cost = copies as f64 * costs.load_seconds * costs.move_weight;
+    (copies > 0 && gain > cost * HYSTERESIS).then_some(Plan {
         map: next,
-        loads,
+        copies,
         gain,
         cost,
     })
@@ -138,8 +137,8 @@
 
 type Layer = Vec<Vec<RankId>>;
 
-/// The change of one layer that lowers its busiest rank most a load: a copy of one of
-/// that rank's experts on the idlest rank, or two experts exchanged.
+/// The change of one layer that lowers its busiest rank most per copy loaded: copies or moves one
+/// of that rank's experts to a lightly loaded rank, or exchanges two.
 fn best_change(layer: &Layer, loads: &[f64], costs: &Costs) -> Option<(Layer, f64, usize)> {
     let sums = rank_loads(layer, loads, costs.ranks);
     let before = busiest(&sums);
@@ -151,7 +150,7 @@
     let mut cold: Vec<usize> = (0..costs.ranks).collect();
     cold.sort_by(by_load);
     let mut best: Option<(Layer, f64, usize)> = None;
-    let mut offer = |changed: Layer, loaded: usize| {
+    let mut consider = |changed: Layer, loaded: usize| {
         let saved = before - busiest(&rank_loads(&changed, loads, costs.ranks));
         let value = |s: f64, l: usize| s / l as f64;
         let better = best
@@ -172,27 +171,27 @@
         .map(|r| r as RankId)
         .filter(|r| *r != hot)
     {
-        let there = experts_on(target);
+        let target_experts = experts_on(target);
         for expert in experts_on(hot) {
             let holders = layer.get(expert).cloned().unwrap_or_default();
             if holders.contains(&target) {
                 continue;
             }
-            if there.len() < costs.slots {
-                offer(with(layer, expert, |h| h.push(target)), 1);
-                offer(with(layer, expert, |h| replace(h, hot, target)), 1);
+            if target_experts.len() < costs.slots {
+                consider(with_change(layer, expert, |h| h.push(target)), 1);
+                consider(with_change(layer, expert, |h| replace(h, hot, target)), 1);
             }
-            for other in &there {
+            for other in &target_experts {
                 let copies = layer.get(*other).map_or(0, Vec::len);
                 if copies > 1 {
-                    // Another expert's spare copy makes room.
-                    let freed = with(layer, *other, |h| h.retain(|r| *r != target));
-                    offer(with(&freed, expert, |h| h.push(target)), 1);
+                    // Dropping a redundant copy of another expert frees the slot.
+                    let freed = with_change(layer, *other, |h| h.retain(|r| *r != target));
+                    consider(with_change(&freed, expert, |h| h.push(target)), 1);
                 }
                 let holds_hot = layer.get(*other).is_some_and(|h| h.contains(&hot));
                 if !holds_hot {
-                    let moved = with(layer, expert, |h| replace(h, hot, target));
-                    offer(with(&moved, *other, |h| replace(h, target, hot)), 2);
+                    let moved = with_change(layer, expert, |h| replace(h, hot, target));
+                    consider(with_change(&moved, *other, |h| replace(h, target, hot)), 2);
                 }
             }
         }
@@ -200,7 +199,7 @@
     best
 }
 
-fn with(layer: &Layer, expert: usize, change: impl Fn(&mut Vec<RankId>)) -> Layer {
+fn with_change(layer: &Layer, expert: usize, change: impl Fn(&mut Vec<RankId>)) -> Layer {
     let mut changed = layer.clone();
     if let Some(holders) = changed.get_mut(expert) {
         change(holders);
@@ -214,8 +213,8 @@
     }
 }
 
-/// A full greedy repack, the baseline: heaviest expert first onto the idlest rank with
-/// room, then copies of the heaviest while slots are free.
+/// Full greedy repack, the baseline: heaviest expert first onto the least loaded rank with a free
+/// slot. Spare slots go to copies of the heaviest experts.
 pub fn repack(estimate: &Estimate, costs: &Costs) -> ExpertMap {
     let layers = estimate
         .layers
--- a/crates/group/src/demand.rs
+++ b/crates/group/src/demand.rs
@@ -1,167 +1,167 @@
-//! What is asked of each expert of a lock-step group: a mean for as long as demand stays as it
-//! is, begun anew when it moves.
+//! Demand for each expert of a lock-step group: a running mean while demand is steady, restarted
+//! when demand changes.
 //!
-//! A few prompts make up the counts of one look, so that two looks differ though demand is the same. A
-//! map that follows the newest look is switched again and again, and each switch has experts
-//! copied that serve nobody.
+//! The counts of one poll come from a few prompts, so two polls differ even under the same demand.
+//! A map that followed the latest poll would be switched over and over, and each switch copies
+//! experts without any benefit.
 
-/// Choices of each expert, by set.
+/// Number of selections of each expert, by set.
 pub type Loads = Vec<Vec<f64>>;
 
-/// Parts into which the ranks of a look fall; how much they differ tells the error of their mean.
+/// Parts into which the ranks of a poll are divided; their variance gives the error of the mean.
 const PARTS: usize = 8;
-/// Parts with choices without which nothing is concluded: of the few prompts of a group that has just begun
-/// to run no error can be told, and each would pass for a move of demand.
-const LEAST_PARTS: usize = 4;
-/// Choices without which nothing is concluded.
-const LEAST_CHOICES: u64 = 2_000;
-/// Looks that the mean reaches back at most: what drifts too slowly to show between looks is followed
-/// within some ten seconds.
-const HORIZON: f64 = 64.0;
-/// Squared distance of a look from what is known, in squared standard errors, that says nothing: it is
-/// one in the mean while demand stays.
-const USUAL: f64 = 2.0;
-/// Sum of what looks in a row have above that from which on demand has moved. A look that is four
-/// standard errors away says so alone, two of three do together.
-const MOVED: f64 = 12.0;
-
-/// The estimate of one group.
+/// Minimum parts with selections before anything is concluded. The few prompts of a group that has
+/// just started give no error estimate, and each would pass for a change of demand.
+const MIN_PARTS: usize = 4;
+/// Minimum number of selections before anything is concluded.
+const MIN_SELECTIONS: u64 = 2_000;
+/// Maximum number of polls in the mean, so that drift too slow to show between polls is followed
+/// within about ten seconds.
+const MAX_POLLS: f64 = 64.0;
+/// Squared distance of a poll from the mean, in squared standard errors, that shows no change.
+/// Under steady demand it averages one.
+const TOLERATED_DISTANCE: f64 = 2.0;
+/// Demand has changed once consecutive polls exceed that distance by this much in total: one poll
+/// four standard errors away suffices, as do two polls three standard errors away.
+const CHANGE_THRESHOLD: f64 = 12.0;
+
+/// Demand estimate of one group.
 #[derive(Debug, Clone, Default)]
 pub struct Demand {
-    /// Counts since the last look that was taken in.
-    parts: Vec<Vec<u64>>,
-    known: Mean,
-    /// The same of the looks since one was farther away than usual.
-    lately: Mean,
-    /// How far these are away in sum, above what is usual.
-    away: f64,
+    /// Counts since the last update.
+    pending: Vec<Vec<u64>>,
+    current: RunningMean,
+    /// Mean over only the polls since the first one with an unusual distance.
+    recent: RunningMean,
+    /// Accumulated distance of these polls above the tolerated one.
+    deviation: f64,
 }
 
-/// Mean shares of the two halves of the ranks over some looks.
+/// Mean shares over some polls, separately for two halves of the ranks.
 #[derive(Debug, Clone, Default)]
-struct Mean {
+struct RunningMean {
     halves: [Vec<f64>; 2],
-    looks: f64,
+    polls: f64,
 }
 
-/// Shares of one part of the ranks.
+/// Expert shares of one part of the ranks.
 struct Part {
     shares: Vec<f64>,
-    /// Its part of all choices.
+    /// Fraction of all selections made by this part.
     weight: f64,
 }
 
 impl Demand {
-    /// Nothing is known.
+    /// Creates an empty estimate.
     pub fn new() -> Demand {
         Demand::default()
     }
 
-    /// Adds the counts of one look: of each rank, or of some together, by set and expert in one list. They
-    /// come in the same order each time, so that a rank stays in its part.
-    pub fn add(&mut self, look: &[Vec<u64>]) {
-        for (at, counts) in look.iter().enumerate() {
-            let at = at % PARTS;
-            if self.parts.len() <= at {
-                self.parts.push(vec![0; counts.len()]);
+    /// Adds the counts of one poll, per rank or per group of ranks, each a flat list by set and
+    /// expert. They must come in the same order every time, so that a rank stays in its part.
+    pub fn add_counts(&mut self, poll: &[Vec<u64>]) {
+        for (index, counts) in poll.iter().enumerate() {
+            let index = index % PARTS;
+            if self.pending.len() <= index {
+                self.pending.push(vec![0; counts.len()]);
             }
-            if let Some(part) = self.parts.get_mut(at) {
+            if let Some(part) = self.pending.get_mut(index) {
                 let pairs = part.iter_mut().zip(counts);
                 pairs.for_each(|(sum, new)| *sum = sum.saturating_add(*new));
             }
         }
     }
 
-    /// Enough was counted since the last look that was taken in.
-    pub fn is_enough(&self) -> bool {
-        let sums = self.parts.iter().map(|p| p.iter().sum::<u64>());
+    /// Whether enough was counted since the last update.
+    pub fn has_enough_counts(&self) -> bool {
+        let sums = self.pending.iter().map(|p| p.iter().sum::<u64>());
         let sums: Vec<u64> = sums.filter(|sum| *sum > 0).collect();
-        let least = LEAST_PARTS.min(self.parts.len());
-        sums.len() >= least && sums.iter().sum::<u64>() >= LEAST_CHOICES
+        let min_parts = MIN_PARTS.min(self.pending.len());
+        sums.len() >= min_parts && sums.iter().sum::<u64>() >= MIN_SELECTIONS
     }
 
-    /// Drops what was counted and is not taken in yet.
-    pub fn drop_counted(&mut self) {
-        self.parts.clear();
+    /// Discards the counts since the last update.
+    pub fn discard_counts(&mut self) {
+        self.pending.clear();
     }
 
-    /// Takes in what was counted as one look. Returns whether demand has moved: what was known before
-    /// is dropped then.
-    pub fn take_in(&mut self) -> bool {
-        let parts = split(std::mem::take(&mut self.parts));
+    /// Adds the counts since the last update as one poll. Returns whether demand has changed, in
+    /// which case the earlier estimate is discarded.
+    pub fn update(&mut self) -> bool {
+        let parts = to_parts(std::mem::take(&mut self.pending));
         if parts.is_empty() {
             return false;
         }
-        let away = self.known.distance(&parts) - USUAL;
-        self.away = (self.away + away).max(0.0);
-        if self.away == 0.0 {
-            self.lately = Mean::default();
+        let excess = self.current.distance(&parts) - TOLERATED_DISTANCE;
+        self.deviation = (self.deviation + excess).max(0.0);
+        if self.deviation == 0.0 {
+            self.recent = RunningMean::default();
         } else {
-            self.lately.take_in(&parts);
+            self.recent.update(&parts);
         }
-        let moved = self.away > MOVED;
-        if moved {
-            self.known = std::mem::take(&mut self.lately);
-            self.away = 0.0;
+        let changed = self.deviation > CHANGE_THRESHOLD;
+        if changed {
+            self.current = std::mem::take(&mut self.recent);
+            self.deviation = 0.0;
         } else {
-            self.known.take_in(&parts);
+            self.current.update(&parts);
         }
-        moved
+        changed
     }
 
-    /// Looks that the estimate is the mean of; 0 where nothing is known.
-    pub fn looks(&self) -> f64 {
-        self.known.looks
+    /// Number of polls in the mean; 0 if nothing is known.
+    pub fn polls(&self) -> f64 {
+        self.current.polls
     }
 
-    /// The estimate by one half of the ranks and by the other, in sets of so many experts. What is
-    /// searched for on one is judged on the other: on the counts that it was fitted to, any map looks
-    /// better than it is.
+    /// The estimate from each half of the ranks, in sets of this many experts. A map searched for
+    /// on one half is evaluated on the other, since any map looks better than it is on the counts
+    /// it was fitted to.
     pub fn halves(&self, experts: usize) -> [Loads; 2] {
-        self.known.halves.each_ref().map(|half| {
+        self.current.halves.each_ref().map(|half| {
             let sets = half.chunks(experts.max(1));
             sets.map(<[f64]>::to_vec).collect()
         })
     }
 }
 
-impl Mean {
-    fn take_in(&mut self, parts: &[Part]) {
-        self.looks = (self.looks + 1.0).min(HORIZON);
-        let weight = 1.0 / self.looks;
-        for (at, half) in self.halves.iter_mut().enumerate() {
-            let of_half = parts.iter().skip(at % parts.len()).step_by(2);
-            let fresh = mean(of_half);
-            half.resize(fresh.len(), 0.0);
-            let pairs = half.iter_mut().zip(fresh);
+impl RunningMean {
+    fn update(&mut self, parts: &[Part]) {
+        self.polls = (self.polls + 1.0).min(MAX_POLLS);
+        let weight = 1.0 / self.polls;
+        for (index, half) in self.halves.iter_mut().enumerate() {
+            let of_half = parts.iter().skip(index % parts.len()).step_by(2);
+            let poll = weighted_mean(of_half);
+            half.resize(poll.len(), 0.0);
+            let pairs = half.iter_mut().zip(poll);
             pairs.for_each(|(old, new)| *old += weight * (new - *old));
         }
     }
 
-    /// Squared distance of a look from this mean, over the square of its error as the scatter of the
-    /// parts tells it. One part alone tells no scatter: then only the newest look counts.
+    /// Squared distance of a poll from this mean over its squared error, as the variance between
+    /// parts gives it. A single part has no variance: then only the latest poll counts.
     fn distance(&self, parts: &[Part]) -> f64 {
-        if self.looks == 0.0 {
+        if self.polls == 0.0 {
             return 0.0;
         }
         if parts.len() < 2 {
             return f64::INFINITY;
         }
-        let fresh = mean(parts.iter());
+        let poll = weighted_mean(parts.iter());
         let [one, other] = &self.halves;
         let known: Vec<f64> = one.iter().zip(other).map(|(a, b)| (a + b) / 2.0).collect();
         let scatter = parts
             .iter()
-            .map(|p| p.weight.powi(2) * squared(&p.shares, &fresh));
+            .map(|p| p.weight.powi(2) * squared_distance(&p.shares, &poll));
         let count = parts.len() as f64;
         let error = scatter.sum::<f64>() * count / (count - 1.0);
-        let both = error * (1.0 + 1.0 / self.looks);
-        squared(&fresh, &known) / both.max(f64::MIN_POSITIVE)
+        let total_error = error * (1.0 + 1.0 / self.polls);
+        squared_distance(&poll, &known) / total_error.max(f64::MIN_POSITIVE)
     }
 }
 
-/// Shares of the parts in which anything was counted.
-fn split(counts: Vec<Vec<u64>>) -> Vec<Part> {
+/// Shares of the parts that counted any selection.
+fn to_parts(counts: Vec<Vec<u64>>) -> Vec<Part> {
     let total: u64 = counts.iter().flatten().sum();
     let part = |counts: Vec<u64>| {
         let sum: u64 = counts.iter().sum();
@@ -173,8 +173,8 @@
     counts.into_iter().filter_map(part).collect()
 }
 
-/// Shares of these parts together.
-fn mean<'a>(parts: impl Iterator<Item = &'a Part>) -> Vec<f64> {
+/// Weighted mean of the shares of these parts.
+fn weighted_mean<'a>(parts: impl Iterator<Item = &'a Part>) -> Vec<f64> {
     let mut sums = Vec::new();
     let mut weight = 0.0;
     for part in parts {
@@ -187,8 +187,8 @@
     sums
 }
 
-/// Squared distance.
-fn squared(one: &[f64], other: &[f64]) -> f64 {
+/// Squared Euclidean distance.
+fn squared_distance(one: &[f64], other: &[f64]) -> f64 {
     let pairs = one.iter().zip(other);
     pairs.map(|(a, b)| (a - b).powi(2)).sum()
 }
--- a/crates/group/src/discovery.rs
+++ b/crates/group/src/discovery.rs
@@ -1,122 +1,126 @@
-//! Which engines form which lock-step group, learnt from what they report themselves. The
-//! engines of one service may form several groups; one that belongs to none yet is left alone.
+//! Discovers from the engines' own reports which of them form which lock-step group. The engines of
+//! one service may form several groups; an engine in no group yet is left alone.
 
-use crate::switch_controller::{Ask, Call, EngineId, Reply, View};
+use crate::switch_controller::{Call, EngineId, EngineReport, EngineRequest, Reply};
 use indexmap::{IndexMap, IndexSet};
 use std::time::Duration;
 
 /// Name of a group within its service.
 pub type GroupName = String;
 
-/// Between two asks of engines whose group is not known or not sure: a group that lacks a rank
-/// forms again some hundred milliseconds after it is back.
-const GAP: Duration = Duration::from_millis(600);
+/// Interval between polls of engines whose group is unknown or may have changed. A group that
+/// lacked a rank forms again a few hundred milliseconds after that rank returns.
+const POLL_INTERVAL: Duration = Duration::from_millis(600);
 
 /// The groups of one service.
 #[derive(Debug, Clone, Default)]
-pub struct Muster {
-    /// What engines reported last.
-    views: IndexMap<EngineId, View>,
-    /// Engines that were asked and have not replied, and the call.
-    asked: IndexMap<EngineId, u64>,
-    calls: u64,
-    due: Duration,
+pub struct GroupDiscovery {
+    /// Last report of each engine.
+    reports: IndexMap<EngineId, EngineReport>,
+    /// Engines with an outstanding request, and the id of its call.
+    pending: IndexMap<EngineId, u64>,
+    last_call: u64,
+    next_poll: Duration,
     /// Groups of which every rank is known.
-    whole: Vec<GroupName>,
+    complete: Vec<GroupName>,
 }
 
-impl Muster {
-    /// Begins; numbers of calls begin at `first`, so that replies to an earlier one fit none.
-    pub fn new(first: u64) -> Muster {
-        Muster {
-            calls: first,
-            ..Muster::default()
+impl GroupDiscovery {
+    /// Starts without groups. Call ids start at `first`, so that replies to earlier calls match
+    /// none.
+    pub fn new(first: u64) -> GroupDiscovery {
+        GroupDiscovery {
+            last_call: first,
+            ..GroupDiscovery::default()
         }
     }
 
-    /// The next call of [`Muster::tick`] may do something even with the same engines.
+    /// Whether [`GroupDiscovery::tick`] may do something even if the engines are unchanged.
     pub fn is_due(&self, now: Duration) -> bool {
-        now >= self.due
+        now >= self.next_poll
     }
 
-    /// Lets time pass; `engines` are those that are registered now, `unsure` says of which
-    /// groups the ranks may have changed.
+    /// Advances time. `engines` are the registered ones; `is_uncertain` tells whether the ranks of
+    /// a group may have changed.
     pub fn tick(
         &mut self,
         now: Duration,
         engines: &[EngineId],
-        unsure: impl Fn(&str) -> bool,
+        is_uncertain: impl Fn(&str) -> bool,
     ) -> Vec<Call> {
-        let present: IndexSet<&EngineId> = engines.iter().collect();
-        self.views.retain(|e, _| present.contains(e));
-        self.whole = self.find_whole();
-        let fresh = engines.iter().any(|e| !self.is_known(e));
-        if now < self.due && !fresh {
+        let registered: IndexSet<&EngineId> = engines.iter().collect();
+        self.reports.retain(|e, _| registered.contains(e));
+        self.complete = self.find_complete();
+        let has_unknown = engines.iter().any(|e| !self.is_known(e));
+        if now < self.next_poll && !has_unknown {
             return Vec::new();
         }
-        self.due = now + GAP;
-        // A rank that left takes its group apart; the others form it anew, and smaller.
-        let whole = &self.whole;
-        let open = |e: &&EngineId| {
-            let view = self.views.get(*e);
-            view.is_none_or(|v| !whole.contains(&v.group) || unsure(&v.group))
+        self.next_poll = now + POLL_INTERVAL;
+        // When a rank leaves, its group breaks up and the remaining ranks form it again, smaller.
+        let complete = &self.complete;
+        let to_poll = |e: &&EngineId| {
+            let report = self.reports.get(*e);
+            report.is_none_or(|r| !complete.contains(&r.group) || is_uncertain(&r.group))
         };
-        let open: Vec<EngineId> = engines.iter().filter(open).cloned().collect();
-        open.into_iter().map(|e| self.ask(e)).collect()
+        let to_poll: Vec<EngineId> = engines.iter().filter(to_poll).cloned().collect();
+        to_poll
+            .into_iter()
+            .map(|e| self.request_report(e))
+            .collect()
     }
 
-    /// Takes the reply to a call; returns the engine and its group, where it has one.
+    /// Processes the reply to a call. Returns the engine and its group, if it has one.
     pub fn reply(&mut self, call: u64, reply: Reply) -> Option<(EngineId, GroupName)> {
-        let found = self.asked.iter().find(|(_, c)| **c == call);
+        let found = self.pending.iter().find(|(_, c)| **c == call);
         let engine = found.map(|(e, _)| e.clone())?;
-        self.asked.swap_remove(&engine);
-        let Reply::View(view) = reply else {
+        self.pending.swap_remove(&engine);
+        let Reply::Report(report) = reply else {
             return None;
         };
-        let group = view.group.clone();
-        self.views.insert(engine.clone(), view);
-        self.whole = self.find_whole();
+        let group = report.group.clone();
+        self.reports.insert(engine.clone(), report);
+        self.complete = self.find_complete();
         (!group.is_empty()).then_some((engine, group))
     }
 
     /// Groups of which every rank is known.
-    pub fn whole(&self) -> &[GroupName] {
-        &self.whole
+    pub fn complete_groups(&self) -> &[GroupName] {
+        &self.complete
     }
 
-    fn find_whole(&self) -> Vec<GroupName> {
+    fn find_complete(&self) -> Vec<GroupName> {
         let mut counts: IndexMap<&str, (usize, u32)> = IndexMap::new();
-        for view in self.views.values().filter(|v| !v.group.is_empty()) {
-            let (known, size) = counts.entry(&view.group).or_default();
+        for report in self.reports.values().filter(|r| !r.group.is_empty()) {
+            let (known, size) = counts.entry(&report.group).or_default();
             *known += 1;
-            *size = view.size;
+            *size = report.size;
         }
-        let whole = counts
+        let complete = counts
             .into_iter()
             .filter(|(_, (known, size))| *known >= *size as usize);
-        whole.map(|(name, _)| name.to_string()).collect()
+        complete.map(|(name, _)| name.to_string()).collect()
     }
 
-    /// Engines of a group, and what they reported last.
-    pub fn members(&self, group: &str) -> IndexMap<EngineId, View> {
-        let members = self.views.iter().filter(|(_, v)| v.group == group);
-        members.map(|(e, v)| (e.clone(), v.clone())).collect()
+    /// Engines of a group with their last reports.
+    pub fn members(&self, group: &str) -> IndexMap<EngineId, EngineReport> {
+        let members = self.reports.iter().filter(|(_, r)| r.group == group);
+        members.map(|(e, r)| (e.clone(), r.clone())).collect()
     }
 
     fn is_known(&self, engine: &EngineId) -> bool {
-        self.views.contains_key(engine) || self.asked.contains_key(engine)
+        self.reports.contains_key(engine) || self.pending.contains_key(engine)
     }
 
-    fn ask(&mut self, engine: EngineId) -> Call {
-        self.calls += 1;
-        let call = self.calls;
-        // Whoever was asked before is asked anew: the earlier reply fits nothing any more.
-        self.asked.insert(engine.clone(), call);
+    fn request_report(&mut self, engine: EngineId) -> Call {
+        self.last_call += 1;
+        let call = self.last_call;
+        // Replaces the outstanding call, so that its reply no longer matches.
+        self.pending.insert(engine.clone(), call);
         Call {
-            call,
+            id: call,
             engine,
-            tries: 1,
-            ask: Ask::Report,
+            attempt: 1,
+            request: EngineRequest::Report,
         }
     }
 }
--- a/crates/group/src/map.rs
+++ b/crates/group/src/map.rs
@@ -1,25 +1,25 @@
-//! Expert maps: which ranks hold which expert, layer by layer.
+//! Expert maps: which ranks hold which expert in each layer.
 
 use crate::RankId;
 use snafu::Snafu;
 use std::fmt;
 
-/// What is wrong with a map's text.
+/// Why the text form of a map is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-pub enum MapFault {
-    /// A part is no number.
+pub enum MapError {
+    /// A rank is not a number.
     #[snafu(display("{part:?}: give ranks joined by '+', experts by '.', layers by '/'"))]
-    Part {
-        /// The part.
+    InvalidRank {
+        /// The invalid text.
         part: String,
     },
-    /// The layers differ in their number of experts.
+    /// The layers have different numbers of experts.
     #[snafu(display("every layer must name the same number of experts"))]
-    Ragged,
+    UnequalLayers,
 }
 
-/// Ranks of each expert of each layer. The first rank of an expert is its home, others
-/// hold replicas. As text: `0.1+2/1.0` is two layers of two experts.
+/// Ranks that hold each expert of each layer. The first rank of an expert is its home, the others
+/// hold replicas. In text form, `0.1+2/1.0` is two layers of two experts.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ExpertMap {
     /// By layer, then expert: the ranks that hold it.
@@ -27,8 +27,8 @@
 }
 
 impl ExpertMap {
-    /// Experts in turn on the ranks, one copy of each.
-    pub fn even(layers: usize, experts: usize, ranks: usize) -> ExpertMap {
+    /// Assigns the experts to the ranks round-robin, one copy of each.
+    pub fn round_robin(layers: usize, experts: usize, ranks: usize) -> ExpertMap {
         let layer = || {
             (0..experts)
                 .map(|e| vec![(e % ranks.max(1)) as RankId])
@@ -39,43 +39,43 @@
         }
     }
 
-    /// Reads the text form.
-    pub fn parse(text: &str) -> Result<ExpertMap, MapFault> {
+    /// Parses the text form.
+    pub fn parse(text: &str) -> Result<ExpertMap, MapError> {
         let rank = |part: &str| {
-            let fault = |_| MapFault::Part { part: part.into() };
-            part.parse::<RankId>().map_err(fault)
+            let invalid = |_| MapError::InvalidRank { part: part.into() };
+            part.parse::<RankId>().map_err(invalid)
         };
         let expert = |text: &str| text.split('+').map(rank).collect::<Result<Vec<_>, _>>();
         let layer = |text: &str| text.split('.').map(expert).collect::<Result<Vec<_>, _>>();
         let layers = text.split('/').map(layer).collect::<Result<Vec<_>, _>>()?;
-        let even = layers
+        let uniform = layers
             .windows(2)
             .all(|w| matches!(w, [a, b] if a.len() == b.len()));
-        if even {
+        if uniform {
             Ok(ExpertMap { layers })
         } else {
-            Err(MapFault::Ragged)
+            Err(MapError::UnequalLayers)
         }
     }
 
-    /// Layers, and experts of a layer.
+    /// Number of layers, and of experts per layer.
     pub fn shape(&self) -> (usize, usize) {
         (self.layers.len(), self.layers.first().map_or(0, Vec::len))
     }
 
-    /// Every rank it names is below `ranks`, and no expert names one twice.
-    pub fn fits(&self, ranks: u32) -> bool {
-        let right = |holders: &Vec<RankId>| {
+    /// Whether every rank is below `ranks` and no expert lists a rank twice.
+    pub fn is_valid_for(&self, ranks: u32) -> bool {
+        let valid = |holders: &Vec<RankId>| {
             let mut sorted = holders.clone();
             sorted.sort_unstable();
             sorted.dedup();
             sorted.len() == holders.len() && sorted.iter().all(|r| *r < ranks)
         };
-        self.layers.iter().flatten().all(right)
+        self.layers.iter().flatten().all(valid)
     }
 
-    /// Copies that `next` has where this map has none: what must be loaded.
-    pub fn loads(&self, next: &ExpertMap) -> usize {
+    /// Number of copies in `next` that this map does not have, which must be loaded.
+    pub fn copies_to_load(&self, next: &ExpertMap) -> usize {
         let pairs = self
             .layers
             .iter()
--- a/crates/group/src/rebalance.rs
+++ b/crates/group/src/rebalance.rs
@@ -1,45 +1,47 @@
-//! Spreading hot experts: where to put copies so that the busiest rank of each layer has
-//! less to do, within the places of a rank and what one change may bring new to it.
+//! Rebalancing of hot experts: places copies so that the busiest rank of each layer has less load,
+//! within the slots of a rank and the experts that one switch may add to it.
 //!
-//! A search by single steps: a copy more, a copy less, or an exchange between two ranks. A
-//! step is judged by the ranks that it concerns, not by the busiest of all: where two ranks
-//! have the most to do, relieving one of them is half of the way.
+//! The search makes one change at a time: add a copy, drop one, or swap two between ranks. A change
+//! is evaluated by the ranks that it affects, not by the overall maximum: if two ranks are equally
+//! busy, relieving one of them is half of the solution.
 //!
-//! What each rank holds is kept beside who holds each expert. The search runs on a share of a core,
-//! and the leader sends no heartbeat meanwhile: one that looked through all experts for those of a rank
-//! would be deposed over a large group.
+//! Experts are also indexed by rank. The search gets a fraction of a core, and the leader sends no
+//! heartbeats meanwhile: if it scanned all experts for those of a rank, the leader of a large group
+//! would be deposed.
 
 use crate::RankId;
 use crate::map::ExpertMap;
 
-/// Changes of one layer at most. It bounds time: the work runs on a twentieth of a core.
-const MOST_CHANGES: usize = 200;
-/// The idlest ranks that an expert may be copied to; more candidates gain little.
-const TARGETS: usize = 3;
-/// The idlest ranks that the busiest one may exchange experts with.
-const PARTNERS: usize = 6;
+/// Maximum changes per layer. Bounds the run time, as the search gets a twentieth of a core.
+const MAX_CHANGES: usize = 200;
+/// Number of least loaded ranks considered as targets of a copy; more candidates gain little.
+const COPY_TARGETS: usize = 3;
+/// Number of least loaded ranks considered for a swap with the busiest one.
+const SWAP_PARTNERS: usize = 6;
 
-/// What a rank can hold.
+/// Limits on what ranks can hold and what a switch may change.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits<'a> {
     /// Ranks of the group.
     pub ranks: usize,
-    /// Experts of one layer on one rank at most.
-    pub places: usize,
-    /// Experts of one layer that may be new to a rank.
-    pub spare: usize,
-    /// Experts of all layers that may be new to a rank: it copies one after the other.
-    pub copies: usize,
-    /// A change must lower the busiest rank of its layer by this part of the mean, or it is
-    /// not worth its copy.
-    pub gain: f64,
-    /// Time that each rank takes for the same work, against a sound one. A slow rank sets
-    /// the pace of all, so it gets less.
-    pub paces: &'a [f64],
+    /// Maximum number of experts of one layer on one rank.
+    pub slots: usize,
+    /// Maximum number of experts of one layer that a switch may add to a rank.
+    pub new_per_layer: usize,
+    /// Maximum number of experts over all layers that a switch may add to a rank, which copies them
+    /// one by one.
+    pub new_total: usize,
+    /// Minimum reduction of the load of a layer's busiest rank, as a fraction of the mean, for
+    /// which a change is worth its copy.
+    pub min_gain: f64,
+    /// Time that each rank takes for the same work, relative to a healthy one. A slow rank limits
+    /// the whole group, so it gets less load.
+    pub slowdowns: &'a [f64],
 }
 
-/// Time of the busiest rank over the mean of sound ones, over all layers; 1 is even.
-pub fn lag(map: &ExpertMap, loads: &[Vec<f64>], limits: Limits<'_>) -> f64 {
+/// Time of the busiest rank over the mean of healthy ones, over all layers; 1 means perfectly
+/// balanced.
+pub fn imbalance(map: &ExpertMap, loads: &[Vec<f64>], limits: Limits<'_>) -> f64 {
     let mean = loads.iter().flatten().sum::<f64>() / limits.ranks.max(1) as f64;
     if mean <= 0.0 {
         return 1.0;
@@ -49,9 +51,9 @@
     busiest.sum::<f64>() / mean
 }
 
-/// A map near `map` that spreads `loads` (by layer and expert) better. The layer whose
-/// busiest rank has the most to do goes first, since copies are few.
-pub fn spread(map: &ExpertMap, loads: &[Vec<f64>], limits: Limits<'_>) -> ExpertMap {
+/// Returns a map close to `map` that balances `loads` (by layer and expert) better. The layer with
+/// the most overloaded rank goes first, since the number of copies is limited.
+pub fn rebalance(map: &ExpertMap, loads: &[Vec<f64>], limits: Limits<'_>) -> ExpertMap {
     let layers = map.layers.iter().zip(loads);
     let mut layers: Vec<Layer<'_>> = layers
         .map(|(layer, loads)| Layer::new(layer, loads, limits))
@@ -59,19 +61,19 @@
     let mut copied = vec![0; limits.ranks];
     let mut open: Vec<usize> = (0..layers.len()).collect();
     let mut excess: Vec<f64> = layers.iter().map(Layer::excess).collect();
-    for _ in 0..MOST_CHANGES * layers.len() {
-        let lag = |l: &usize| excess.get(*l).copied().unwrap_or(0.0);
+    for _ in 0..MAX_CHANGES * layers.len() {
+        let excess_of = |l: &usize| excess.get(*l).copied().unwrap_or(0.0);
         let Some(worst) = open
             .iter()
             .copied()
-            .max_by(|a, b| lag(a).total_cmp(&lag(b)))
+            .max_by(|a, b| excess_of(a).total_cmp(&excess_of(b)))
         else {
             break;
         };
         let Some(layer) = layers.get_mut(worst) else {
             break;
         };
-        if !layer.improve_once(&mut copied) {
+        if !layer.apply_best_change(&mut copied) {
             open.retain(|l| *l != worst);
         }
         if let Some(excess) = excess.get_mut(worst) {
@@ -83,37 +85,37 @@
     }
 }
 
-/// One layer while it is being changed.
+/// One layer during the search.
 struct Layer<'a> {
     loads: &'a [f64],
     limits: Limits<'a>,
     /// Ranks that hold each expert.
     holders: Vec<Vec<RankId>>,
     /// Experts that each rank holds, in ascending order.
-    held: Vec<Vec<usize>>,
+    by_rank: Vec<Vec<usize>>,
     base: &'a [Vec<RankId>],
     sums: Vec<f64>,
-    /// All ranks, the idlest first.
-    idle: Vec<usize>,
-    fresh: Vec<usize>,
+    /// All ranks, least loaded first.
+    by_load: Vec<usize>,
+    added: Vec<usize>,
     mean: f64,
 }
 
-/// What happens to a layer.
+/// A change to a layer.
 #[derive(Clone, Copy)]
-enum Step {
-    /// A copy of an expert on a rank, in the place of the copy of another there.
+enum Move {
+    /// Adds a copy of an expert to a rank, optionally in place of the copy of another expert.
     Copy(usize, usize, Option<usize>),
-    /// A rank gives its copy of an expert up: costs nothing.
+    /// Removes a rank's copy of an expert, at no cost.
     Drop(usize, usize),
-    /// Two ranks exchange a copy each: expert and rank, twice.
+    /// Swaps a copy of one rank with a copy of another: expert and rank, twice.
     Swap((usize, usize), (usize, usize)),
 }
 
 #[derive(Clone, Copy)]
 struct Change {
-    step: Step,
-    /// Load afterwards of the busiest of the ranks that it concerns.
+    action: Move,
+    /// Highest load afterwards among the ranks that it affects.
     busiest: f64,
 }
 
@@ -123,63 +125,64 @@
             loads,
             limits,
             holders: base.to_vec(),
-            held: vec![Vec::new(); limits.ranks],
+            by_rank: vec![Vec::new(); limits.ranks],
             base,
             sums: vec![0.0; limits.ranks],
-            idle: (0..limits.ranks).collect(),
-            fresh: vec![0; limits.ranks],
+            by_load: (0..limits.ranks).collect(),
+            added: vec![0; limits.ranks],
             mean: loads.iter().sum::<f64>() / limits.ranks.max(1) as f64,
         };
         for expert in 0..base.len() {
             for rank in base.get(expert).into_iter().flatten().map(|r| *r as usize) {
-                if let Some(held) = layer.held.get_mut(rank) {
-                    held.push(expert);
+                if let Some(experts) = layer.by_rank.get_mut(rank) {
+                    experts.push(expert);
                 }
-                let share = layer.share(expert, 0) * layer.pace(rank);
+                let share = layer.share(expert, 0) * layer.slowdown(rank);
                 if let Some(sum) = layer.sums.get_mut(rank) {
                     *sum += share;
                 }
             }
         }
-        layer.order();
+        layer.sort_ranks();
         layer
     }
 
-    fn pace(&self, rank: usize) -> f64 {
-        self.limits.paces.get(rank).copied().unwrap_or(1.0)
+    fn slowdown(&self, rank: usize) -> f64 {
+        self.limits.slowdowns.get(rank).copied().unwrap_or(1.0)
     }
 
     fn busiest(&self) -> f64 {
-        self.idle.last().map_or(0.0, |r| self.sum(*r))
+        self.by_load.last().map_or(0.0, |r| self.sum(*r))
     }
 
-    /// Load of the busiest rank over the mean, in load: layers with more of it weigh more.
+    /// Load of the busiest rank above the mean, in absolute terms: layers with more load weigh
+    /// more.
     fn excess(&self) -> f64 {
         self.busiest() - self.mean
     }
 
-    /// Makes the best change for the busiest rank, if one is worth it; `copied` counts what
-    /// is new to each rank over all layers.
-    fn improve_once(&mut self, copied: &mut [usize]) -> bool {
-        let Some(hot) = self.idle.last().copied() else {
+    /// Applies the best change for the busiest rank, if it is worth it. `copied` counts the experts
+    /// added to each rank over all layers.
+    fn apply_best_change(&mut self, copied: &mut [usize]) -> bool {
+        let Some(busiest_rank) = self.by_load.last().copied() else {
             return false;
         };
-        let before = self.sum(hot);
-        let best = self.best(hot, copied);
-        let Some(change) = best.filter(|c| c.busiest <= before - self.limits.gain * self.mean)
+        let before = self.sum(busiest_rank);
+        let best = self.best_change(busiest_rank, copied);
+        let Some(change) = best.filter(|c| c.busiest <= before - self.limits.min_gain * self.mean)
         else {
             return false;
         };
         self.apply(change, copied);
-        self.order();
+        self.sort_ranks();
         true
     }
 
-    /// Puts the ranks in order, the idlest first. A change moves few of them, and sorting what is
-    /// nearly in order takes little.
-    fn order(&mut self) {
+    /// Sorts the ranks by load, least loaded first. A change moves few of them, and sorting a
+    /// nearly sorted list is cheap.
+    fn sort_ranks(&mut self) {
         let sum = |r: &usize| self.sums.get(*r).copied().unwrap_or(0.0);
-        self.idle
+        self.by_load
             .sort_by(|a, b| sum(a).total_cmp(&sum(b)).then(a.cmp(b)));
     }
 
@@ -193,58 +196,58 @@
         holders.is_some_and(|h| h.contains(&(rank as RankId)))
     }
 
-    fn is_new(&self, expert: usize, rank: usize) -> bool {
+    fn is_added(&self, expert: usize, rank: usize) -> bool {
         let base = self.base.get(expert);
         !base.is_some_and(|h| h.contains(&(rank as RankId)))
     }
 
     fn experts_on(&self, rank: usize) -> &[usize] {
-        self.held.get(rank).map_or(&[], Vec::as_slice)
+        self.by_rank.get(rank).map_or(&[], Vec::as_slice)
     }
 
-    /// Load that each holder of an expert has of it, with so many copies more or less.
+    /// Load that an expert puts on each of its holders if it had `more` copies.
     fn share(&self, expert: usize, more: i64) -> f64 {
         let copies = self.holders.get(expert).map_or(0, Vec::len) as i64 + more;
         self.loads.get(expert).copied().unwrap_or(0.0) / copies.max(1) as f64
     }
 
-    /// The best change for one of the busiest rank's experts.
-    fn best(&self, hot: usize, copied: &[usize]) -> Option<Change> {
+    /// The best change that involves one of the busiest rank's experts.
+    fn best_change(&self, busiest_rank: usize, copied: &[usize]) -> Option<Change> {
         let mut best: Option<Change> = None;
-        let mut offer = |step: Step| {
-            let change = self.tried(step);
+        let mut consider = |action: Move| {
+            let change = self.evaluate(action);
             if best.is_none_or(|b| change.busiest < b.busiest) {
                 best = Some(change);
             }
         };
-        for expert in self.experts_on(hot).iter().copied() {
+        for expert in self.experts_on(busiest_rank).iter().copied() {
             if self.copies(expert) > 1 {
-                offer(Step::Drop(expert, hot));
+                consider(Move::Drop(expert, busiest_rank));
             }
             let targets = self
-                .idle
+                .by_load
                 .iter()
                 .copied()
-                .filter(|t| self.may_take(expert, *t, copied));
-            for target in targets.take(TARGETS) {
-                if self.has_place(target) {
-                    offer(Step::Copy(expert, target, None));
+                .filter(|t| self.can_receive(expert, *t, copied));
+            for target in targets.take(COPY_TARGETS) {
+                if self.has_slot(target) {
+                    consider(Move::Copy(expert, target, None));
                     continue;
                 }
-                for out in self.outs(target) {
-                    offer(Step::Copy(expert, target, Some(out)));
+                for dropped in self.droppable(target) {
+                    consider(Move::Copy(expert, target, Some(dropped)));
                 }
             }
             for target in self
-                .idle
+                .by_load
                 .iter()
                 .copied()
-                .filter(|t| *t != hot)
-                .take(PARTNERS)
+                .filter(|t| *t != busiest_rank)
+                .take(SWAP_PARTNERS)
             {
                 for other in self.experts_on(target).iter().copied() {
-                    if self.may_swap((expert, hot), (other, target), copied) {
-                        offer(Step::Swap((expert, hot), (other, target)));
+                    if self.can_swap((expert, busiest_rank), (other, target), copied) {
+                        consider(Move::Swap((expert, busiest_rank), (other, target)));
                     }
                 }
             }
@@ -252,147 +255,148 @@
         best
     }
 
-    fn may_take(&self, expert: usize, target: usize, copied: &[usize]) -> bool {
-        let makes_room = || self.has_place(target) || self.outs(target).next().is_some();
-        self.fits(expert, target, copied) && makes_room()
+    fn can_receive(&self, expert: usize, target: usize, copied: &[usize]) -> bool {
+        let has_room = || self.has_slot(target) || self.droppable(target).next().is_some();
+        self.can_copy(expert, target, copied) && has_room()
     }
 
-    fn may_swap(
+    fn can_swap(
         &self,
         (one, here): (usize, usize),
         (other, there): (usize, usize),
         copied: &[usize],
     ) -> bool {
         self.share(other, 0) < self.share(one, 0)
-            && self.fits(one, there, copied)
-            && self.fits(other, here, copied)
+            && self.can_copy(one, there, copied)
+            && self.can_copy(other, here, copied)
     }
 
-    /// An expert is not on a rank yet, and may be copied there.
-    fn fits(&self, expert: usize, rank: usize, copied: &[usize]) -> bool {
+    /// Whether a rank does not hold an expert yet and may receive a copy.
+    fn can_copy(&self, expert: usize, rank: usize, copied: &[usize]) -> bool {
         if self.holds(expert, rank) {
             return false;
         }
-        let fresh = self.fresh.get(rank).copied().unwrap_or(0);
+        let added = self.added.get(rank).copied().unwrap_or(0);
         let copied = copied.get(rank).copied().unwrap_or(0);
-        !self.is_new(expert, rank) || (fresh < self.limits.spare && copied < self.limits.copies)
+        !self.is_added(expert, rank)
+            || (added < self.limits.new_per_layer && copied < self.limits.new_total)
     }
 
-    fn has_place(&self, rank: usize) -> bool {
-        self.experts_on(rank).len() < self.limits.places
+    fn has_slot(&self, rank: usize) -> bool {
+        self.experts_on(rank).len() < self.limits.slots
     }
 
-    /// What may give way on a full rank: any expert that others hold too.
-    fn outs(&self, rank: usize) -> impl Iterator<Item = usize> {
-        let held = self.experts_on(rank).iter().copied();
-        held.filter(|e| self.copies(*e) > 1)
+    /// Experts whose copy on a rank may be dropped because other ranks hold them, too.
+    fn droppable(&self, rank: usize) -> impl Iterator<Item = usize> {
+        let experts = self.experts_on(rank).iter().copied();
+        experts.filter(|e| self.copies(*e) > 1)
     }
 
     fn copies(&self, expert: usize) -> usize {
         self.holders.get(expert).map_or(0, Vec::len)
     }
 
-    fn tried(&self, step: Step) -> Change {
-        let shifts = self.shifts(step);
-        let sums = shifts.iter().map(|(rank, by)| self.sum(*rank) + by);
+    fn evaluate(&self, action: Move) -> Change {
+        let deltas = self.deltas(action);
+        let sums = deltas.iter().map(|(rank, by)| self.sum(*rank) + by);
         let busiest = sums.fold(0.0, f64::max);
-        Change { step, busiest }
+        Change { action, busiest }
     }
 
     fn sum(&self, rank: usize) -> f64 {
         self.sums.get(rank).copied().unwrap_or(0.0)
     }
 
-    /// Changes of load that a step makes, each rank once.
-    fn shifts(&self, step: Step) -> Vec<(usize, f64)> {
-        let mut shifts = Vec::new();
-        match step {
-            Step::Drop(expert, rank) => self.shift_one(&mut shifts, expert, rank, -1),
-            Step::Copy(expert, target, out) => {
-                self.shift_one(&mut shifts, expert, target, 1);
-                if let Some(out) = out {
-                    self.shift_one(&mut shifts, out, target, -1);
+    /// Changes of load caused by a change, with one entry per rank.
+    fn deltas(&self, action: Move) -> Vec<(usize, f64)> {
+        let mut deltas = Vec::new();
+        match action {
+            Move::Drop(expert, rank) => self.copy_deltas(&mut deltas, expert, rank, -1),
+            Move::Copy(expert, target, dropped) => {
+                self.copy_deltas(&mut deltas, expert, target, 1);
+                if let Some(dropped) = dropped {
+                    self.copy_deltas(&mut deltas, dropped, target, -1);
                 }
             }
-            Step::Swap((one, here), (other, there)) => {
+            Move::Swap((one, here), (other, there)) => {
                 let (a, b) = (self.share(one, 0), self.share(other, 0));
-                shift(&mut shifts, here, (b - a) * self.pace(here));
-                shift(&mut shifts, there, (a - b) * self.pace(there));
+                add_delta(&mut deltas, here, (b - a) * self.slowdown(here));
+                add_delta(&mut deltas, there, (a - b) * self.slowdown(there));
             }
         }
-        shifts
+        deltas
     }
 
-    /// Loads after `rank` has a copy of `expert` more (1) or less (-1).
-    fn shift_one(&self, shifts: &mut Vec<(usize, f64)>, expert: usize, rank: usize, more: i64) {
-        let (now, then) = (self.share(expert, 0), self.share(expert, more));
+    /// Adds the changes of load if `rank` has one copy of `expert` more (1) or less (-1).
+    fn copy_deltas(&self, deltas: &mut Vec<(usize, f64)>, expert: usize, rank: usize, more: i64) {
+        let (before, after) = (self.share(expert, 0), self.share(expert, more));
         for other in self.ranks_of(expert).filter(|r| *r != rank) {
-            shift(shifts, other, (then - now) * self.pace(other));
+            add_delta(deltas, other, (after - before) * self.slowdown(other));
         }
-        let own = if more > 0 { then } else { -now };
-        shift(shifts, rank, own * self.pace(rank));
+        let own = if more > 0 { after } else { -before };
+        add_delta(deltas, rank, own * self.slowdown(rank));
     }
 
     fn apply(&mut self, change: Change, copied: &mut [usize]) {
-        for (rank, by) in self.shifts(change.step) {
+        for (rank, by) in self.deltas(change.action) {
             if let Some(sum) = self.sums.get_mut(rank) {
                 *sum += by;
             }
         }
-        match change.step {
-            Step::Drop(expert, rank) => self.remove(expert, rank, copied),
-            Step::Copy(expert, target, out) => {
-                if let Some(out) = out {
-                    self.remove(out, target, copied);
+        match change.action {
+            Move::Drop(expert, rank) => self.remove_copy(expert, rank, copied),
+            Move::Copy(expert, target, dropped) => {
+                if let Some(dropped) = dropped {
+                    self.remove_copy(dropped, target, copied);
                 }
-                self.put(expert, target, copied);
+                self.insert_copy(expert, target, copied);
             }
-            Step::Swap((one, here), (other, there)) => {
-                self.remove(one, here, copied);
-                self.remove(other, there, copied);
-                self.put(one, there, copied);
-                self.put(other, here, copied);
+            Move::Swap((one, here), (other, there)) => {
+                self.remove_copy(one, here, copied);
+                self.remove_copy(other, there, copied);
+                self.insert_copy(one, there, copied);
+                self.insert_copy(other, here, copied);
             }
         }
     }
 
-    fn remove(&mut self, expert: usize, rank: usize, copied: &mut [usize]) {
-        if self.is_new(expert, rank) {
-            add(&mut self.fresh, rank, -1);
-            add(copied, rank, -1);
+    fn remove_copy(&mut self, expert: usize, rank: usize, copied: &mut [usize]) {
+        if self.is_added(expert, rank) {
+            adjust(&mut self.added, rank, -1);
+            adjust(copied, rank, -1);
         }
         if let Some(holders) = self.holders.get_mut(expert) {
             holders.retain(|r| *r as usize != rank);
         }
-        if let Some(held) = self.held.get_mut(rank) {
-            held.retain(|e| *e != expert);
+        if let Some(experts) = self.by_rank.get_mut(rank) {
+            experts.retain(|e| *e != expert);
         }
     }
 
-    fn put(&mut self, expert: usize, rank: usize, copied: &mut [usize]) {
-        if self.is_new(expert, rank) {
-            add(&mut self.fresh, rank, 1);
-            add(copied, rank, 1);
+    fn insert_copy(&mut self, expert: usize, rank: usize, copied: &mut [usize]) {
+        if self.is_added(expert, rank) {
+            adjust(&mut self.added, rank, 1);
+            adjust(copied, rank, 1);
         }
         if let Some(holders) = self.holders.get_mut(expert) {
             holders.push(rank as RankId);
         }
-        if let Some(held) = self.held.get_mut(rank) {
-            let at = held.partition_point(|e| *e < expert);
-            held.insert(at, expert);
+        if let Some(experts) = self.by_rank.get_mut(rank) {
+            let at = experts.partition_point(|e| *e < expert);
+            experts.insert(at, expert);
         }
     }
 }
 
-/// More load on a rank, which may have some in the list already.
-fn shift(shifts: &mut Vec<(usize, f64)>, rank: usize, by: f64) {
-    match shifts.iter_mut().find(|(r, _)| *r == rank) {
+/// Adds to the load change of a rank, which may already be in the list.
+fn add_delta(deltas: &mut Vec<(usize, f64)>, rank: usize, by: f64) {
+    match deltas.iter_mut().find(|(r, _)| *r == rank) {
         Some((_, sum)) => *sum += by,
-        None => shifts.push((rank, by)),
+        None => deltas.push((rank, by)),
     }
 }
 
-fn add(counts: &mut [usize], rank: usize, by: i64) {
+fn adjust(counts: &mut [usize], rank: usize, by: i64) {
     if let Some(count) = counts.get_mut(rank) {
         *count = count.saturating_add_signed(by as isize);
     }
--- a/crates/group/src/switch_controller/calls.rs
+++ b/crates/group/src/switch_controller/calls.rs
@@ -1,45 +1,52 @@
-//! Rounds of calls: to all ranks, to some, or to the one that holds the group; with a higher
-//! token each time an order is repeated.
+//! Rounds of calls: to all ranks, to some, or to the one that holds the group. A repeated order
+//! gets a higher token each time.
 
-use super::{Ask, Call, Command, EngineId, NO_VERSION, PER_TERM, Phase, Pilot, Reply, Round, View};
+use super::{
+    Call, Command, EngineId, EngineReport, EngineRequest, NO_VERSION, PER_TERM, Phase, Reply,
+    Round, SwitchController,
+};
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// Ranks whose counts are read. Requests are spread over ranks whatever they are about, so
-/// that a few ranks tell what all of them choose; each reading from another machine makes the
-/// group pause.
+/// Number of ranks whose counts are read. Requests are spread over the ranks whatever their
+/// content, so a few ranks are representative; and each read from another instance pauses the
+/// group.
 const SAMPLE: usize = 3;
 
-impl Pilot {
-    pub(super) fn ask_all(&mut self, phase: Phase, ask: Ask) -> Vec<Call> {
+impl SwitchController {
+    pub(super) fn request_all(&mut self, phase: Phase, request: EngineRequest) -> Vec<Call> {
         self.phase = phase;
         self.round = Round::default();
         let engines = self.engines.clone();
-        let calls = engines.into_iter().map(|e| self.call(e, ask.clone(), 1));
+        let calls = engines
+            .into_iter()
+            .map(|e| self.call(e, request.clone(), 1));
         calls.collect()
     }
 
-    /// Counts that came with fresh looks, or else those of the sampled ranks.
+    /// Uses the counts that came with fresh reports, or else queries the sampled ranks.
     pub(super) fn count(&mut self, now: Duration) -> Vec<Call> {
-        let mut views: Vec<&mut View> = self.views.values_mut().collect();
-        views.sort_by_key(|v| v.rank);
-        let counts = views.into_iter().filter_map(|v| v.lately.take());
+        let mut reports: Vec<&mut EngineReport> = self.reports.values_mut().collect();
+        reports.sort_by_key(|r| r.rank);
+        let counts = reports.into_iter().filter_map(|r| r.recent_counts.take());
         let mut counts: Vec<Vec<u64>> = counts.collect();
         if counts.is_empty() {
-            return self.ask_some();
+            return self.request_counts();
         }
         let size = self.shape.sets * self.shape.experts;
         counts.retain(|c| c.len() == size);
-        self.demand.add(&counts);
-        self.judge(now)
+        self.demand.add_counts(&counts);
+        self.update_demand(now)
     }
 
-    /// Asks the sampled ranks for counts.
-    fn ask_some(&mut self) -> Vec<Call> {
+    /// Queries the sampled ranks for counts.
+    fn request_counts(&mut self) -> Vec<Call> {
         self.phase = Phase::Count;
         self.round = Round::default();
         let engines: Vec<_> = self.engines.iter().take(SAMPLE).cloned().collect();
-        let calls = engines.into_iter().map(|e| self.call(e, Ask::Counts, 1));
+        let calls = engines
+            .into_iter()
+            .map(|e| self.call(e, EngineRequest::Counts, 1));
         calls.collect()
     }
 
@@ -65,50 +72,54 @@
         vec![self.order(holder, command, 1)]
     }
 
-    pub(super) fn order(&mut self, engine: EngineId, command: Command, tries: u32) -> Call {
+    pub(super) fn order(&mut self, engine: EngineId, command: Command, attempt: u32) -> Call {
         self.tokens += 1;
         let token = self.term * PER_TERM + self.tokens;
-        let ask = Ask::Order(command, self.epoch, token);
-        self.call(engine, ask, tries)
+        let request = EngineRequest::Order(command, self.epoch, token);
+        self.call(engine, request, attempt)
     }
 
-    pub(super) fn call(&mut self, engine: EngineId, ask: Ask, tries: u32) -> Call {
+    pub(super) fn call(&mut self, engine: EngineId, request: EngineRequest, attempt: u32) -> Call {
         self.calls += 1;
         let call = self.calls;
-        self.round.out.insert(engine.clone(), (call, tries));
+        self.round.pending.insert(engine.clone(), (call, attempt));
         Call {
-            call,
+            id: call,
             engine,
-            tries,
-            ask,
+            attempt,
+            request,
         }
     }
 
-    /// The same once more, an order with a higher token.
-    pub(super) fn again(&mut self, engine: &EngineId, tries: u32) -> Vec<Call> {
+    /// Repeats a call; an order gets a higher token.
+    pub(super) fn repeat(&mut self, engine: &EngineId, attempt: u32) -> Vec<Call> {
         let engine = engine.clone();
         let (version, pass) = (self.switch.version, self.switch.pass);
         let command = match self.phase {
             Phase::Prepare => Command::Prepare(version, self.switch.map.clone()),
-            Phase::Hold | Phase::Rehold => Command::Hold(pass),
+            Phase::Hold | Phase::RenewHold => Command::Hold(pass),
             Phase::Arm => Command::Arm(version, pass),
-            Phase::Undo => Command::Disarm(self.to_disarm(&engine)),
+            Phase::RollBack => Command::Disarm(self.version_to_disarm(&engine)),
             Phase::Go => Command::Go(pass),
             Phase::Fence => Command::Disarm(NO_VERSION),
-            Phase::List => return vec![self.call(engine, Ask::List, tries)],
-            Phase::Count => return vec![self.call(engine, Ask::Counts, tries)],
-            Phase::Survey => return vec![self.call(engine, Ask::Look, tries)],
-            Phase::CopyLook => return vec![self.call(engine, Ask::Copied(version), tries)],
-            _ => return vec![self.call(engine, Ask::Report, tries)],
+            Phase::ListExperts => return vec![self.call(engine, EngineRequest::List, attempt)],
+            Phase::Count => return vec![self.call(engine, EngineRequest::Counts, attempt)],
+            Phase::Poll => return vec![self.call(engine, EngineRequest::Poll, attempt)],
+            Phase::PollCopies => {
+                return vec![self.call(engine, EngineRequest::ReportWhenCopied(version), attempt)];
+            }
+            _ => return vec![self.call(engine, EngineRequest::Report, attempt)],
         };
-        vec![self.order(engine, command, tries)]
+        vec![self.order(engine, command, attempt)]
     }
 }
 
-pub(super) fn views(back: IndexMap<EngineId, Reply>) -> IndexMap<EngineId, View> {
-    let views = back.into_iter().filter_map(|(e, r)| match r {
-        Reply::View(view) => Some((e, view)),
+pub(super) fn collect_reports(
+    replies: IndexMap<EngineId, Reply>,
+) -> IndexMap<EngineId, EngineReport> {
+    let reports = replies.into_iter().filter_map(|(e, r)| match r {
+        Reply::Report(report) => Some((e, report)),
         _ => None,
     });
-    views.collect()
+    reports.collect()
 }
--- a/crates/group/src/switch_controller/mod.rs
+++ b/crates/group/src/switch_controller/mod.rs
@@ -1,23 +1,21 @@
-//! Switching the expert map of a lock-step group whose ranks are ordered over a network
-//! that loses answers and carries orders out late.
+//! Switches the expert map of a lock-step group whose ranks receive orders over a network that may
+//! lose answers and deliver orders late.
 //!
-//! What goes wrong otherwise: an `arm` whose answer was lost is carried out seconds later
-//! on one rank, after the others dropped that switch, and a pass runs on two maps. One
-//! would notice wrong tokens, long after. Two rules prevent it:
+//! Without precautions, an `arm` order whose answer was lost may be carried out on one rank seconds
+//! later, after the other ranks dropped that switch. A forward pass then runs on two maps, which
+//! shows only much later as wrong tokens. Two rules prevent this:
 //!
-//! - No rank is armed for a pass before another order holds the group at that pass, and
-//!   the group goes on only when every rank has confirmed that it is armed, or every rank
-//!   that it is not.
-//! - Every order carries a fencing token above all before it. An order without an answer
-//!   is repeated with a higher one until an answer comes: from then on the lost one can
-//!   only be refused.
+//! - No rank is armed for a pass before another order holds the group at that pass. The group
+//!   continues only once every rank has confirmed that it is armed, or every rank that it is not.
+//! - Every order carries a fencing token higher than all before it. An order without an answer is
+//!   repeated with a higher token until an answer arrives; the lost one can then only be refused.
 //!
-//! Gain: a pass lasts as long as its busiest rank takes, which has several times the mean where the map
-//! does not follow demand.
+//! A pass takes as long as its busiest rank, which has several times the mean load if the map does
+//! not follow demand.
 //!
-//! A new leader fences every rank before it looks at any: an old leader that does not
-//! know of it can do nothing from then on. What it left half done is undone under the
-//! hold that still stands.
+//! A new leader fences every rank before it polls any, so that an old leader that does not know of
+//! it can no longer change anything. A switch that the old leader left unfinished is rolled back
+//! under the hold that is still in force.
 
 mod calls;
 mod planning;
@@ -25,7 +23,9 @@
 mod switching;
 mod types;
 
-pub use types::{Ask, Call, Command, EngineId, Note, Pass, Reply, Shape, View};
+pub use types::{
+    Call, Command, EngineId, EngineReport, EngineRequest, Pass, Reply, Shape, SwitchEvent,
+};
 
 use crate::Version;
 use crate::demand::Demand;
@@ -34,107 +34,107 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Between two looks at the group. What is in demand moves within a second, and until the
-/// map follows every stream in flight is late.
-const REST: Duration = Duration::from_millis(350);
-/// The same where every report is fresh and counts are free: two to three passes, in which
-/// enough tokens are counted.
-const FRESH_REST: Duration = Duration::from_millis(150);
-/// Rest where the group is not whole, or another leads.
-const LONG_REST: Duration = Duration::from_millis(600);
-/// Rest while a rank is away: the group opens some hundred milliseconds after it is back, and every
-/// pass on the first map is slow.
-const AWAY_REST: Duration = Duration::from_millis(150);
-/// Tries of a question or of an order that may be given up.
-const TRIES: u32 = 4;
-/// Tries of a look at a rank from beside it, by a leader that found the group as another left it.
-const FRESH_TRIES: u32 = 3;
-/// Tries of an order to prepare: nothing stands still meanwhile, and a switch that is begun
-/// anew takes longer.
-const PREPARE_TRIES: u32 = 8;
-/// Least passes ahead of the last one reported at which a switch is set: reports are two
-/// to three passes old, and arming takes a part of one. Where answers to orders are lost
-/// it takes longer, and the switch is set further ahead by what the last ones took: a
-/// group that waits at the hold makes every stream in flight late.
-const AHEAD: Pass = 4;
-/// The same where reports are fresh: the pass after the one that is under way.
-const FRESH_AHEAD: Pass = 2;
-/// Time of a pass before any was seen, and the bounds of what is believed.
-const PASS: Duration = Duration::from_millis(80);
-const SHORTEST_PASS: Duration = Duration::from_millis(30);
-const LONGEST_PASS: Duration = Duration::from_millis(300);
-/// A version that is never used, since terms begin at 1: an order to disarm it changes
-/// nothing. Engines refuse 0.
+/// Interval between polls of the group. Demand changes within a second, and until the map follows,
+/// every stream in flight is late.
+const POLL_INTERVAL: Duration = Duration::from_millis(350);
+/// Interval while every report is fresh and counts are free: two to three passes, in which enough
+/// tokens are counted.
+const FRESH_POLL_INTERVAL: Duration = Duration::from_millis(150);
+/// Interval while the group is incomplete or another leader is active.
+const RECOVERY_INTERVAL: Duration = Duration::from_millis(600);
+/// Interval while a rank is absent. The group reopens some hundred milliseconds after the rank
+/// returns, and every pass on the initial map is slow.
+const ABSENT_POLL_INTERVAL: Duration = Duration::from_millis(150);
+/// Maximum attempts of a query, or of an order that may be abandoned.
+const MAX_ATTEMPTS: u32 = 4;
+/// Attempts at a fresh report through a rank's relay, for a leader that takes over a group.
+const FRESH_ATTEMPTS: u32 = 3;
+/// Maximum attempts of an order to prepare. The group is not stalled meanwhile, and restarting the
+/// switch takes longer.
+const PREPARE_ATTEMPTS: u32 = 8;
+/// Minimum passes from the last reported one to a switch. Reports are two to three passes old, and
+/// arming takes a fraction of a pass. Lost answers to orders delay arming, so a switch is scheduled
+/// further ahead by the time that the last ones took: a group waiting at the hold makes every
+/// stream in flight late.
+const MIN_AHEAD: Pass = 4;
+/// The same with fresh reports: the pass after the current one.
+const FRESH_MIN_AHEAD: Pass = 2;
+/// Assumed duration of a pass before any was measured, and the bounds of plausible measurements.
+const DEFAULT_PASS: Duration = Duration::from_millis(80);
+const MIN_PASS: Duration = Duration::from_millis(30);
+const MAX_PASS: Duration = Duration::from_millis(300);
+/// A version that is never used, since terms start at 1. An order to disarm it changes nothing,
+/// whereas engines refuse version 0.
 const NO_VERSION: Version = 1;
-/// Most passes ahead at which a switch is set.
-const FURTHEST: Pass = 60;
-/// Versions and tokens of one term: terms are those of the log, one leader each, so that
-/// neither is ever used twice.
+/// Maximum number of passes ahead at which a switch is scheduled.
+const MAX_AHEAD: Pass = 60;
+/// Versions and tokens reserved per term. Each term of the log has a single leader, so none of them
+/// is ever used twice.
 const PER_TERM: u64 = 1 << 20;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Phase {
-    Rest(Duration),
-    /// First reports: who forms the group, in which epoch.
-    Meet,
+    Idle(Duration),
+    /// First reports: which engines form the group, and in which epoch.
+    Discover,
     Fence,
-    /// A hold of an earlier leader is looked for at once.
-    Early,
-    Lag(Duration),
-    Survey,
-    /// Which experts each rank holds, where an earlier leader chose them.
-    List,
+    /// Looks for a hold of an earlier leader immediately after fencing.
+    CheckHold,
+    AwaitReports(Duration),
+    Poll,
+    /// Queries which experts each rank holds, if an earlier leader chose the map.
+    ListExperts,
     Count,
     Prepare,
-    CopyWait(Duration),
-    CopyLook,
+    AwaitCopies(Duration),
+    PollCopies,
     Hold,
     Arm,
-    /// The hold of an earlier leader, or one that was lost from sight, is renewed.
-    Rehold,
-    Undo,
+    /// Renews the hold of an earlier leader, or one whose state is unknown.
+    RenewHold,
+    RollBack,
     Go,
 }
 
-/// Questions or orders that are out, by engine.
+/// Outstanding queries or orders, by engine.
 #[derive(Debug, Clone, Default)]
 struct Round {
-    out: IndexMap<EngineId, (u64, u32)>,
-    back: IndexMap<EngineId, Reply>,
-    /// Call that asks another rank whether the group still stands.
-    check: Option<u64>,
+    pending: IndexMap<EngineId, (u64, u32)>,
+    replies: IndexMap<EngineId, Reply>,
+    /// Call that asks another rank whether the group still exists.
+    probe: Option<u64>,
 }
 
-/// A switch under way.
+/// A switch in progress.
 #[derive(Debug, Clone, Default)]
 struct Switch {
     version: Version,
     map: Arc<ExpertMap>,
     pass: Pass,
     holder: EngineId,
-    began: Duration,
-    /// When the hold was ordered.
-    ordered: Duration,
-    /// Set when every rank is armed: the switch will hold.
-    sure: bool,
+    started: Duration,
+    /// When the order to hold was sent.
+    hold_sent: Duration,
+    /// Set once every rank is armed: the switch will take effect.
+    all_armed: bool,
 }
 
-/// Numbers that a pilot has used in its term.
+/// Numbers that a controller has used in its term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Used {
-    /// Calls.
+pub struct UsedNumbers {
+    /// Call ids.
     pub calls: u64,
     /// Fencing tokens.
     pub tokens: u64,
-    /// Versions of maps.
+    /// Map versions.
     pub versions: u64,
 }
 
-impl Used {
-    /// The highest of both.
+impl UsedNumbers {
+    /// The larger of each pair of numbers.
     #[must_use]
-    pub fn or(self, other: Used) -> Used {
-        Used {
+    pub fn max(self, other: UsedNumbers) -> UsedNumbers {
+        UsedNumbers {
             calls: self.calls.max(other.calls),
             tokens: self.tokens.max(other.tokens),
             versions: self.versions.max(other.versions),
@@ -142,286 +142,306 @@
     }
 }
 
-/// The switching of one group by one leader.
+/// Switches the maps of one group on behalf of one leader.
 #[derive(Debug, Clone)]
-pub struct Pilot {
+pub struct SwitchController {
     shape: Shape,
     term: u64,
     calls: u64,
     tokens: u64,
     versions: u64,
-    /// More passes ahead, after a switch was set too near.
-    further: Pass,
-    /// Time that a hold and arming every rank take.
-    arming: Duration,
-    /// Time of a pass, and when which pass was seen last.
+    /// Additional passes ahead, after a switch was scheduled too close.
+    extra_ahead: Pass,
+    /// Time that the hold and arming every rank take.
+    arm_time: Duration,
+    /// Duration of a pass, and when the last pass was observed.
     pass_time: Duration,
-    seen: Option<(Duration, Pass)>,
+    last_pass: Option<(Duration, Pass)>,
     /// Engines that this leader has fenced before.
     fenced: Vec<EngineId>,
     phase: Phase,
     round: Round,
     registered: Vec<EngineId>,
-    /// Those of them that form the group.
+    /// Registered engines that form the group.
     engines: Vec<EngineId>,
-    views: IndexMap<EngineId, View>,
-    /// The views tell what is prepared and armed since the ranks were fenced.
-    current: bool,
+    reports: IndexMap<EngineId, EngineReport>,
+    /// Whether the reports show what is prepared and armed since the ranks were fenced.
+    reports_current: bool,
     epoch: u64,
-    /// The map in use, where its content is known, with its version.
+    /// The map in use with its version, if its content is known.
     map: Option<(Version, Arc<ExpertMap>)>,
-    counted: IndexMap<EngineId, Vec<u64>>,
-    /// What is asked of each expert.
+    last_counts: IndexMap<EngineId, Vec<u64>>,
+    /// Demand for each expert.
     demand: Demand,
-    /// Lag of the map that the last search found.
-    reached: f64,
-    /// Looks that it knew of.
-    searched: f64,
+    /// Imbalance of the map that the last search found.
+    last_imbalance: f64,
+    /// Number of polls known to the last search.
+    last_search_polls: f64,
     switch: Switch,
-    notes: Vec<Note>,
-    /// Paces as they were told, in steps, and those that are not told yet.
-    paced: IndexMap<EngineId, u32>,
-    repaced: Vec<(EngineId, u32)>,
+    events: Vec<SwitchEvent>,
+    /// Slowdowns as last reported, rounded, and changes not yet reported.
+    reported_slowdowns: IndexMap<EngineId, u32>,
+    slowdown_updates: Vec<(EngineId, u32)>,
 }
 
-impl Pilot {
-    /// Begins for the leader of a term. Until every rank is fenced nothing else is done.
-    pub fn new(term: u64, shape: Shape) -> Pilot {
-        Pilot {
+impl SwitchController {
+    /// Creates the controller of a term's leader, which does nothing else until every rank is
+    /// fenced.
+    pub fn new(term: u64, shape: Shape) -> SwitchController {
+        SwitchController {
             shape,
             term,
-            // Replies to calls of the pilot before, in the same process, must fit none.
+            // Replies to an earlier controller in the same process must not match any call.
             calls: term * PER_TERM,
             tokens: 0,
             versions: 0,
-            further: 0,
-            arming: Duration::ZERO,
-            pass_time: PASS,
-            seen: None,
+            extra_ahead: 0,
+            arm_time: Duration::ZERO,
+            pass_time: DEFAULT_PASS,
+            last_pass: None,
             fenced: Vec::new(),
-            phase: Phase::Rest(Duration::ZERO),
+            phase: Phase::Idle(Duration::ZERO),
             round: Round::default(),
             registered: Vec::new(),
             engines: Vec::new(),
-            views: IndexMap::new(),
-            current: false,
+            reports: IndexMap::new(),
+            reports_current: false,
             epoch: 0,
             map: None,
-            counted: IndexMap::new(),
+            last_counts: IndexMap::new(),
             demand: Demand::new(),
-            reached: 1.0,
-            searched: 0.0,
+            last_imbalance: 1.0,
+            last_search_polls: 0.0,
             switch: Switch::default(),
-            notes: Vec::new(),
-            paced: IndexMap::new(),
-            repaced: Vec::new(),
+            events: Vec::new(),
+            reported_slowdowns: IndexMap::new(),
+            slowdown_updates: Vec::new(),
         }
     }
 
-    /// Begins with ranks that reported just now, without asking them again.
-    pub fn begin(&mut self, now: Duration, members: IndexMap<EngineId, View>) -> Vec<Call> {
+    /// Starts with ranks that have just reported, without querying them again.
+    pub fn start(&mut self, now: Duration, members: IndexMap<EngineId, EngineReport>) -> Vec<Call> {
         self.registered = members.keys().cloned().collect();
-        let back = members.into_iter().map(|(e, v)| (e, Reply::View(v)));
-        self.met(now, back.collect())
+        let replies = members.into_iter().map(|(e, r)| (e, Reply::Report(r)));
+        self.on_discovered(now, replies.collect())
     }
 
-    /// The ranks may not be those that were known: something was in the way.
-    pub fn is_unsure(&self) -> bool {
+    /// Whether the known ranks may be out of date, since something failed.
+    pub fn needs_discovery(&self) -> bool {
         self.registered.is_empty()
     }
 
-    /// Paces of the ranks in steps, where they changed: gateways place by them.
-    pub fn take_paces(&mut self) -> Vec<(EngineId, u32)> {
-        std::mem::take(&mut self.repaced)
+    /// Changed slowdowns of the ranks, rounded. Gateways use them for placing requests.
+    pub fn take_slowdowns(&mut self) -> Vec<(EngineId, u32)> {
+        std::mem::take(&mut self.slowdown_updates)
     }
 
-    /// Ranks that form the group, as far as is known.
-    pub fn ranks(&self) -> usize {
+    /// Number of ranks in the group, as far as known.
+    pub fn rank_count(&self) -> usize {
         self.engines.len()
     }
 
-    /// How far calls, tokens and versions have gone.
-    pub fn used(&self) -> Used {
-        Used {
+    /// Numbers used for calls, tokens and versions so far.
+    pub fn used_numbers(&self) -> UsedNumbers {
+        UsedNumbers {
             calls: self.calls,
             tokens: self.tokens,
             versions: self.versions,
         }
     }
 
-    /// Goes on above what other pilots of the same term used: ranks that change groups have seen
-    /// their tokens and versions, and would refuse lower ones.
-    pub fn go_above(&mut self, used: Used) {
+    /// Continues above the numbers of other controllers of the same term. Ranks that change groups
+    /// have seen those tokens and versions and would refuse lower ones.
+    pub fn skip_past(&mut self, used: UsedNumbers) {
         self.calls = self.calls.max(used.calls);
         self.tokens = self.tokens.max(used.tokens);
         self.versions = self.versions.max(used.versions);
     }
 
-    /// What happened since the last call.
-    pub fn notes(&mut self) -> Vec<Note> {
-        std::mem::take(&mut self.notes)
+    /// Events since the last call.
+    pub fn take_events(&mut self) -> Vec<SwitchEvent> {
+        std::mem::take(&mut self.events)
     }
 
-    /// The next call of [`Pilot::tick`] does something.
+    /// Whether the next call of [`SwitchController::tick`] does something.
     pub fn is_due(&self, now: Duration) -> bool {
         match self.phase {
-            Phase::Rest(until) | Phase::Lag(until) | Phase::CopyWait(until) => now >= until,
+            Phase::Idle(until) | Phase::AwaitReports(until) | Phase::AwaitCopies(until) => {
+                now >= until
+            }
             _ => false,
         }
     }
 
-    /// Lets time pass; `engines` are those that are registered now.
+    /// Advances time; `engines` are the registered ones.
     pub fn tick(&mut self, now: Duration, engines: &[EngineId]) -> Vec<Call> {
         match self.phase {
-            Phase::Rest(until) if now >= until && !engines.is_empty() => {
+            Phase::Idle(until) if now >= until && !engines.is_empty() => {
                 let known = self.registered == engines;
                 match known {
-                    true => self.ask_all(Phase::Survey, Ask::Look),
-                    // New ones may be under another leader's orders still.
-                    false => self.meet(engines),
+                    true => self.request_all(Phase::Poll, EngineRequest::Poll),
+                    // New engines may still be under another leader's orders.
+                    false => self.discover(engines),
                 }
             }
-            Phase::Lag(until) if now >= until => self.ask_all(Phase::Survey, Ask::Report),
-            Phase::CopyWait(until) if now >= until => self.look_at_copies(),
+            Phase::AwaitReports(until) if now >= until => {
+                self.request_all(Phase::Poll, EngineRequest::Report)
+            }
+            Phase::AwaitCopies(until) if now >= until => self.poll_copies(),
             _ => Vec::new(),
         }
     }
 
-    /// Takes the reply to a call.
+    /// Processes the reply to a call.
     pub fn reply(&mut self, now: Duration, call: u64, reply: Reply) -> Vec<Call> {
-        if self.round.check == Some(call) {
-            return self.checked(now, &reply);
+        if self.round.probe == Some(call) {
+            return self.on_probe_reply(now, &reply);
         }
-        let found = self.round.out.iter().find(|(_, (c, _))| *c == call);
-        let Some((engine, tries)) = found.map(|(e, (_, t))| (e.clone(), *t)) else {
+        let found = self.round.pending.iter().find(|(_, (c, _))| *c == call);
+        let Some((engine, attempt)) = found.map(|(e, (_, t))| (e.clone(), *t)) else {
             return Vec::new();
         };
-        let bound = self.bound();
-        // A try to look from beside a rank is soon over; waiting until an old report must have passed
-        // takes several times as long, for which a group that was left held stands still.
-        let old = matches!(&reply, Reply::View(v) if !v.fresh) && self.phase == Phase::Early;
-        if old && tries < FRESH_TRIES {
-            return self.again(&engine, tries + 1);
+        let limit = self.attempt_limit();
+        // Another attempt through the relay takes little time. Waiting until an old report must
+        // have been superseded takes several times as long, and a group that was left held is
+        // stalled meanwhile.
+        let stale =
+            matches!(&reply, Reply::Report(r) if !r.fresh) && self.phase == Phase::CheckHold;
+        if stale && attempt < FRESH_ATTEMPTS {
+            return self.repeat(&engine, attempt + 1);
         }
-        if matches!(reply, Reply::Silent | Reply::Odd) && bound.is_none_or(|b| tries < b) {
-            let mut calls = self.again(&engine, tries + 1);
-            if bound.is_none() && tries.is_multiple_of(TRIES) {
-                calls.extend(self.check(&engine));
+        if matches!(reply, Reply::Silent | Reply::Odd) && limit.is_none_or(|l| attempt < l) {
+            let mut calls = self.repeat(&engine, attempt + 1);
+            if limit.is_none() && attempt.is_multiple_of(MAX_ATTEMPTS) {
+                calls.extend(self.probe_other_rank(&engine));
             }
             return calls;
         }
-        self.round.out.shift_remove(&engine);
-        self.round.back.insert(engine, reply);
-        match self.round.out.is_empty() {
-            true => self.next(now),
+        self.round.pending.shift_remove(&engine);
+        self.round.replies.insert(engine, reply);
+        match self.round.pending.is_empty() {
+            true => self.on_round_complete(now),
             false => Vec::new(),
         }
     }
 
-    /// A rank that stays silent may have crashed. Then the group forms anew, which clears
-    /// every hold and arm, and nothing is left to be settled; any other rank tells.
-    fn check(&mut self, silent: &EngineId) -> Option<Call> {
+    /// A rank that does not answer may have crashed. The group then forms again, which clears every
+    /// hold and arm and leaves nothing to finish; a report of any other rank shows this.
+    fn probe_other_rank(&mut self, silent: &EngineId) -> Option<Call> {
         let other = self.engines.iter().find(|e| *e != silent)?.clone();
         self.calls += 1;
         let call = self.calls;
-        self.round.check = Some(call);
+        self.round.probe = Some(call);
         Some(Call {
-            call,
+            id: call,
             engine: other,
-            tries: 1,
-            ask: Ask::Report,
+            attempt: 1,
+            request: EngineRequest::Report,
         })
     }
 
-    fn checked(&mut self, now: Duration, reply: &Reply) -> Vec<Call> {
-        self.round.check = None;
+    fn on_probe_reply(&mut self, now: Duration, reply: &Reply) -> Vec<Call> {
+        self.round.probe = None;
         match reply {
-            Reply::View(v) if v.epoch != self.epoch || !v.open => {
+            Reply::Report(r) if r.epoch != self.epoch || !r.open => {
                 self.round = Round::default();
-                self.note("group_changed", v.epoch);
-                self.away(now)
+                self.record_event("group_changed", r.epoch);
+                self.wait_for_ranks(now)
             }
             _ => Vec::new(),
         }
     }
 
-    /// Tries of a call in this phase. An order to arm, to undo or to go on is never
-    /// given up: the group may stand still until it is answered. Nor is fencing: a hold may
-    /// have been left behind, and where a third of the answers is lost one of many ranks
-    /// fails every bounded number of tries.
-    fn bound(&self) -> Option<u32> {
+    /// Maximum attempts of a call in this phase. Orders to arm, roll back or go are repeated
+    /// without limit, since the group may be stalled until they are answered. So is fencing: a hold
+    /// may have been left behind, and with a third of the answers lost, one of many ranks fails any
+    /// bounded number of attempts.
+    fn attempt_limit(&self) -> Option<u32> {
         match self.phase {
-            Phase::Undo | Phase::Go | Phase::Arm | Phase::Rehold | Phase::Fence => None,
-            Phase::Prepare => Some(PREPARE_TRIES),
-            _ => Some(TRIES),
+            Phase::RollBack | Phase::Go | Phase::Arm | Phase::RenewHold | Phase::Fence => None,
+            Phase::Prepare => Some(PREPARE_ATTEMPTS),
+            _ => Some(MAX_ATTEMPTS),
         }
     }
 
-    fn next(&mut self, now: Duration) -> Vec<Call> {
-        let back = std::mem::take(&mut self.round.back);
+    fn on_round_complete(&mut self, now: Duration) -> Vec<Call> {
+        let replies = std::mem::take(&mut self.round.replies);
         match self.phase {
-            Phase::Meet => self.met(now, back),
-            Phase::Fence => self.fenced(now, &back),
-            Phase::Early => self.looked_early(now, back),
-            Phase::Survey => self.surveyed(now, back),
-            Phase::List => self.listed(now, &back),
-            Phase::Count => self.counted(now, &back),
-            Phase::Prepare => self.prepared(now, &back),
-            Phase::CopyLook => self.copied(now, back),
-            Phase::Hold => self.held(now, &back),
-            Phase::Arm => self.armed(now, &back),
-            Phase::Rehold => self.reheld(now, &back),
-            Phase::Undo => self.undone(now, &back),
-            Phase::Go => self.gone(now),
-            Phase::Rest(_) | Phase::Lag(_) | Phase::CopyWait(_) => Vec::new(),
+            Phase::Discover => self.on_discovered(now, replies),
+            Phase::Fence => self.on_fenced(now, &replies),
+            Phase::CheckHold => self.on_hold_checked(now, replies),
+            Phase::Poll => self.on_polled(now, replies),
+            Phase::ListExperts => self.on_experts_listed(now, &replies),
+            Phase::Count => self.on_counts(now, &replies),
+            Phase::Prepare => self.on_prepared(now, &replies),
+            Phase::PollCopies => self.on_copies_polled(now, replies),
+            Phase::Hold => self.on_held(now, &replies),
+            Phase::Arm => self.on_armed(now, &replies),
+            Phase::RenewHold => self.on_hold_renewed(now, &replies),
+            Phase::RollBack => self.on_rolled_back(now, &replies),
+            Phase::Go => self.on_released(now),
+            Phase::Idle(_) | Phase::AwaitReports(_) | Phase::AwaitCopies(_) => Vec::new(),
         }
     }
 
-    fn rest(&mut self, until: Duration) -> Vec<Call> {
-        self.phase = Phase::Rest(until);
+    fn wait_until(&mut self, until: Duration) -> Vec<Call> {
+        self.phase = Phase::Idle(until);
         Vec::new()
     }
 
-    /// Until the next look.
-    fn rest_a_while(&mut self, now: Duration) -> Vec<Call> {
-        let rest = if self.all_fresh() { FRESH_REST } else { REST };
-        self.rest(now + rest)
+    /// Waits until the next poll.
+    fn wait_for_poll(&mut self, now: Duration) -> Vec<Call> {
+        let interval = if self.all_fresh() {
+            FRESH_POLL_INTERVAL
+        } else {
+            POLL_INTERVAL
+        };
+        self.wait_until(now + interval)
     }
 
     fn all_fresh(&self) -> bool {
-        !self.views.is_empty() && self.views.values().all(|v| v.fresh)
+        !self.reports.is_empty() && self.reports.values().all(|r| r.fresh)
     }
 
-    fn look_at_copies(&mut self) -> Vec<Call> {
-        self.ask_all(Phase::CopyLook, Ask::Copied(self.switch.version))
+    fn poll_copies(&mut self) -> Vec<Call> {
+        self.request_all(
+            Phase::PollCopies,
+            EngineRequest::ReportWhenCopied(self.switch.version),
+        )
     }
 
-    /// Something is in the way: all begins anew after a while, with fencing.
-    fn unwell(&mut self, now: Duration) -> Vec<Call> {
+    /// Restarts, with fencing, after an interval.
+    fn restart(&mut self, now: Duration) -> Vec<Call> {
         self.registered.clear();
-        self.rest(now + LONG_REST)
+        self.wait_until(now + RECOVERY_INTERVAL)
     }
 
-    /// The group is not whole: a rank is away, or was. Where looking costs nothing, it is looked for as
-    /// often as at a group that is well.
-    fn away(&mut self, now: Duration) -> Vec<Call> {
-        let fresh = self.views.values().filter(|v| v.fresh).count();
-        let free = 2 * fresh > self.views.len();
+    /// The group is incomplete: a rank is or was absent. If polling is cheap, it polls as often as
+    /// for a healthy group.
+    fn wait_for_ranks(&mut self, now: Duration) -> Vec<Call> {
+        let fresh = self.reports.values().filter(|r| r.fresh).count();
+        let free = 2 * fresh > self.reports.len();
         self.registered.clear();
-        self.rest(now + if free { AWAY_REST } else { LONG_REST })
+        self.wait_until(
+            now + if free {
+                ABSENT_POLL_INTERVAL
+            } else {
+                RECOVERY_INTERVAL
+            },
+        )
     }
 
-    fn give_up(&mut self, now: Duration, why: &'static str) -> Vec<Call> {
-        self.note(why, self.switch.version);
-        self.unwell(now)
+    fn abandon(&mut self, now: Duration, reason: &'static str) -> Vec<Call> {
+        self.record_event(reason, self.switch.version);
+        self.restart(now)
     }
 
-    fn note(&mut self, event: &'static str, number: u64) {
-        self.notes.push(Note {
+    fn record_event(&mut self, event: &'static str, number: u64) {
+        self.events.push(SwitchEvent {
             event,
             number,
             skew: None,
-            pace: None,
+            max_slowdown: None,
         });
     }
 }
--- a/crates/group/src/switch_controller/switching.rs
+++ b/crates/group/src/switch_controller/switching.rs
@@ -1,105 +1,123 @@
-//! From a prepared map to one in use: hold, arm, go; or everything undone under the hold.
+//! Puts a prepared map into use: hold, arm, go; or rolls everything back under the hold.
 
-use super::polling::LAG;
-use super::{Call, Command, EngineId, FURTHEST, NO_VERSION, Pass, Phase, Pilot, Reply};
+use super::polling::REPORT_LAG;
+use super::{Call, Command, EngineId, MAX_AHEAD, NO_VERSION, Pass, Phase, Reply, SwitchController};
 use crate::Version;
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// What is remembered of the time that arming took, from one switch to the next.
-const REMEMBERED: f64 = 0.8;
-/// More of them after a pass turned out begun already.
-const FURTHER: Pass = 3;
+/// Factor by which the measured arming time decays from one switch to the next.
+const ARM_TIME_DECAY: f64 = 0.8;
+/// Increase of the passes ahead after a pass turned out to have started already.
+const EXTRA_AHEAD_STEP: Pass = 3;
 
-impl Pilot {
-    pub(super) fn held(&mut self, now: Duration, back: &IndexMap<EngineId, Reply>) -> Vec<Call> {
+impl SwitchController {
+    pub(super) fn on_held(
+        &mut self,
+        now: Duration,
+        replies: &IndexMap<EngineId, Reply>,
+    ) -> Vec<Call> {
         let pass = self.switch.pass;
-        match back.values().next() {
+        match replies.values().next() {
             Some(Reply::Done) => {
                 let version = self.switch.version;
                 self.order_all(Phase::Arm, |_| Command::Arm(version, pass))
             }
-            // The pass has begun already: nothing was armed, so nothing is lost.
+            // The pass has started already. Nothing was armed, so nothing is lost.
             Some(Reply::Conflict) => {
-                self.further = (self.further + FURTHER).min(FURTHEST);
-                self.note("hold_late", pass);
-                self.phase = Phase::CopyWait(now);
+                self.extra_ahead = (self.extra_ahead + EXTRA_AHEAD_STEP).min(MAX_AHEAD);
+                self.record_event("hold_late", pass);
+                self.phase = Phase::AwaitCopies(now);
                 Vec::new()
             }
-            // It may be held: only what surely lifts it may follow.
+            // The group may be held, so only an order that certainly lifts the hold may follow.
             _ => self.order_holder(Phase::Go, Command::Go(pass)),
         }
     }
 
-    pub(super) fn armed(&mut self, now: Duration, back: &IndexMap<EngineId, Reply>) -> Vec<Call> {
-        if back.values().all(|r| matches!(r, Reply::Done)) {
-            self.switch.sure = true;
-            let took = now.saturating_sub(self.switch.ordered);
-            self.arming = took.max(self.arming.mul_f64(REMEMBERED));
+    pub(super) fn on_armed(
+        &mut self,
+        now: Duration,
+        replies: &IndexMap<EngineId, Reply>,
+    ) -> Vec<Call> {
+        if replies.values().all(|r| matches!(r, Reply::Done)) {
+            self.switch.all_armed = true;
+            let took = now.saturating_sub(self.switch.hold_sent);
+            self.arm_time = took.max(self.arm_time.mul_f64(ARM_TIME_DECAY));
             return self.order_holder(Phase::Go, Command::Go(self.switch.pass));
         }
-        self.note("arm_refused", self.switch.version);
-        self.undo()
+        self.record_event("arm_refused", self.switch.version);
+        self.roll_back()
     }
 
-    pub(super) fn reheld(&mut self, now: Duration, back: &IndexMap<EngineId, Reply>) -> Vec<Call> {
-        match back.values().next() {
-            Some(Reply::Done) if self.current => self.undo(),
+    pub(super) fn on_hold_renewed(
+        &mut self,
+        now: Duration,
+        replies: &IndexMap<EngineId, Reply>,
+    ) -> Vec<Call> {
+        match replies.values().next() {
+            Some(Reply::Done) if self.reports_current => self.roll_back(),
             Some(Reply::Done) => {
-                self.phase = Phase::Lag(now + LAG);
+                self.phase = Phase::AwaitReports(now + REPORT_LAG);
                 Vec::new()
             }
-            // The pass has begun, or the group formed anew: there is no hold any more.
-            _ => self.unwell(now),
+            // The pass has started or the group formed again, so the hold no longer exists.
+            _ => self.restart(now),
         }
     }
 
-    pub(super) fn undo(&mut self) -> Vec<Call> {
+    pub(super) fn roll_back(&mut self) -> Vec<Call> {
         let versions: IndexMap<EngineId, Version> = self
             .engines
             .iter()
-            .map(|e| (e.clone(), self.to_disarm(e)))
+            .map(|e| (e.clone(), self.version_to_disarm(e)))
             .collect();
-        self.order_all(Phase::Undo, |e| {
+        self.order_all(Phase::RollBack, |e| {
             Command::Disarm(versions.get(e).copied().unwrap_or(NO_VERSION))
         })
     }
 
-    /// What a rank may be armed with: this leader's switch, or else what it reported as
-    /// armed or prepared.
-    pub(super) fn to_disarm(&self, engine: &EngineId) -> Version {
+    /// The version that a rank may be armed with: that of this leader's switch, or else the one
+    /// that the rank reported as armed or prepared.
+    pub(super) fn version_to_disarm(&self, engine: &EngineId) -> Version {
         if self.switch.version > 0 {
             return self.switch.version;
         }
-        let view = self.views.get(engine);
-        view.and_then(|v| v.armed.or(v.prepared))
+        let report = self.reports.get(engine);
+        report
+            .and_then(|r| r.armed.or(r.prepared))
             .unwrap_or(NO_VERSION)
     }
 
-    pub(super) fn undone(&mut self, now: Duration, back: &IndexMap<EngineId, Reply>) -> Vec<Call> {
-        // Another leader has fenced some rank: it finds the hold and ends it. To go on
-        // here could mix maps, since this one cannot tell what is armed there.
-        if back.values().any(|r| matches!(r, Reply::Fenced)) {
-            return self.unwell(now);
+    pub(super) fn on_rolled_back(
+        &mut self,
+        now: Duration,
+        replies: &IndexMap<EngineId, Reply>,
+    ) -> Vec<Call> {
+        // Another leader has fenced some rank; it will find the hold and lift it. Continuing here
+        // could mix maps, since this leader does not know what is armed on that rank.
+        if replies.values().any(|r| matches!(r, Reply::Fenced)) {
+            return self.restart(now);
         }
         self.order_holder(Phase::Go, Command::Go(self.switch.pass))
     }
 
-    pub(super) fn gone(&mut self, now: Duration) -> Vec<Call> {
-        let (version, sure) = (self.switch.version, self.switch.sure);
-        self.note(
-            if sure {
+    pub(super) fn on_released(&mut self, now: Duration) -> Vec<Call> {
+        let (version, all_armed) = (self.switch.version, self.switch.all_armed);
+        self.record_event(
+            if all_armed {
                 "map_switched"
             } else {
                 "switch_undone"
             },
             version,
         );
-        if sure {
-            self.further = 0;
-            // Known from here on. A later switch that is undone must not replace it.
+        if all_armed {
+            self.extra_ahead = 0;
+            // From here on the content is known; a later switch that is rolled back must not
+            // replace it.
             self.map = Some((version, self.switch.map.clone()));
         }
-        self.rest_a_while(now)
+        self.wait_for_poll(now)
     }
 }
--- a/crates/group/src/switch_controller/types.rs
+++ b/crates/group/src/switch_controller/types.rs
@@ -1,146 +1,146 @@
-//! What a pilot is told, asks and notes.
+//! Requests to engines, their replies, and events of a switch controller.
 
 use crate::Version;
 use crate::map::ExpertMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Id of a rank's engine, one start of it.
+/// Id of a rank's engine, unique per process start.
 pub type EngineId = String;
-/// Number of a pass of the whole group.
+/// Number of a forward pass of the whole group.
 pub type Pass = u64;
 
-/// What a rank reports.
+/// Report of a rank.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct View {
-    /// Group it belongs to.
+pub struct EngineReport {
+    /// Group that the rank belongs to.
     pub group: String,
-    /// Number of the group's forming.
+    /// Number of this formation of the group.
     pub epoch: u64,
     /// Its rank.
     pub rank: u32,
-    /// The group runs.
+    /// Whether the group is running.
     pub open: bool,
-    /// Ranks of the group.
+    /// Number of ranks in the group.
     pub size: u32,
-    /// Last pass begun.
+    /// Last pass started.
     pub pass: Pass,
     /// Version of the map in use.
     pub map: Version,
-    /// Version that is copied completely.
+    /// Version whose experts are all copied.
     pub prepared: Option<Version>,
-    /// Version armed.
+    /// Version that is armed.
     pub armed: Option<Version>,
-    /// Pass before which it holds the group.
+    /// Pass before which the rank holds the group.
     pub held: Option<Pass>,
-    /// Time that it takes for the same work in hundredths of a sound rank's; 0: not told.
-    pub pace: u32,
-    /// It was made just now, by one beside the rank; else it is some hundred ms old.
+    /// Time for the same work in hundredths of a healthy rank's; 0 if not reported.
+    pub slowdown: u32,
+    /// Whether it was just read through the relay beside the rank; otherwise some hundred ms old.
     pub fresh: bool,
-    /// How often experts were chosen since the look before, by set and expert in one list:
-    /// of this rank, or of it and of others whose looks came with its own.
-    pub lately: Option<Vec<u64>>,
+    /// Selections of each expert since the previous poll, a flat list by set and expert: of this
+    /// rank, or of it and of others whose reports arrived with it.
+    pub recent_counts: Option<Vec<u64>>,
 }
 
 /// An order to a rank.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
-    /// Copy what the map needs.
+    /// Copy the experts that the map needs.
     Prepare(Version, Arc<ExpertMap>),
-    /// Switch to the version as the pass begins.
+    /// Switch to the version at the start of the pass.
     Arm(Version, Pass),
     /// Do not switch to the version.
     Disarm(Version),
-    /// Do not begin the pass.
+    /// Do not start the pass.
     Hold(Pass),
-    /// Begin it after all.
+    /// Allow the pass to start.
     Go(Pass),
 }
 
-/// What is asked of a rank.
+/// A request to a rank's engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Ask {
-    /// Its report.
+pub enum EngineRequest {
+    /// Request its report.
     Report,
-    /// Its report, with counts where these are free.
-    Look,
-    /// Its report once the version is copied, or after a while; at once where nobody
-    /// beside the rank can wait for it.
-    Copied(Version),
-    /// Its counts of chosen experts.
+    /// Request its report, with counts where these are free.
+    Poll,
+    /// Request its report once the version is copied, or after a while; at once if no relay can
+    /// wait.
+    ReportWhenCopied(Version),
+    /// Request its selection counts by expert.
     Counts,
-    /// The experts that it holds.
+    /// Request the list of experts that it holds.
     List,
-    /// An order, in an epoch, with a fencing token.
+    /// An order, with epoch and fencing token.
     Order(Command, u64, u64),
 }
 
 /// A call to make.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Call {
-    /// Number, for the reply.
-    pub call: u64,
-    /// Which engine.
+    /// Identifies the call in the reply.
+    pub id: u64,
+    /// Engine to call.
     pub engine: EngineId,
-    /// Which try this is, from 1: another way may reach an engine that this one does not.
-    pub tries: u32,
-    /// What to ask.
-    pub ask: Ask,
+    /// Attempt, from 1: another route may reach an engine that this one does not.
+    pub attempt: u32,
+    /// The request.
+    pub request: EngineRequest,
 }
 
-/// What came back.
+/// Result of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reply {
     /// A report.
-    View(View),
-    /// Epoch, and counts by set and expert in one list.
+    Report(EngineReport),
+    /// Epoch, and selection counts by set and expert in one list.
     Counts(u64, Vec<u64>),
     /// Version of the map in use, and this rank's experts by set.
     List(Version, Vec<Vec<u32>>),
-    /// The order holds.
+    /// The order was accepted.
     Done,
-    /// The order does not fit the rank's state or epoch.
+    /// The order does not match the rank's state or epoch.
     Conflict,
-    /// The rank has seen a higher token: another leads.
+    /// The rank has seen a higher token: another leader is active.
     Fenced,
-    /// Another answer, or one that cannot be read.
+    /// An unexpected or undecodable answer.
     Odd,
-    /// Nothing came, or nobody was there.
+    /// No answer, or the engine could not be reached.
     Silent,
 }
 
-/// Something worth a line.
+/// An event to be logged.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Note {
-    /// What happened.
+pub struct SwitchEvent {
+    /// Name of the event.
     pub event: &'static str,
-    /// Version or pass that it is about.
+    /// Version or pass that it refers to.
     pub number: u64,
-    /// Busiest rank over mean rank before and after, where it was computed.
+    /// Load of the busiest rank over the mean, before and after, if it was computed.
     pub skew: Option<(f64, f64)>,
-    /// Time that the slowest rank takes for the same work, against a sound one.
-    pub pace: Option<f64>,
+    /// Time of the slowest rank for the same work, relative to a healthy one.
+    pub max_slowdown: Option<f64>,
 }
 
-/// Shape of a group's experts.
+/// Dimensions and limits of a group's experts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Shape {
     /// Sets of layers.
     pub sets: usize,
-    /// Experts of a set.
+    /// Experts per set.
     pub experts: usize,
-    /// Experts of a set on one rank at most.
-    pub places: usize,
-    /// Experts of a set that may be new to a rank in one switch.
-    pub spare: usize,
+    /// Maximum number of experts of a set on one rank.
+    pub slots: usize,
+    /// Maximum number of experts of a set that one switch may add to a rank.
+    pub new_per_set: usize,
     /// Time that a rank takes to copy one expert.
-    pub copy: Duration,
+    pub copy_time: Duration,
 }
 
 impl Shape {
-    /// Experts that a rank can copy in a time, one at least.
+    /// Number of experts that a rank can copy in this time, at least one.
     pub(super) fn copies_within(&self, time: Duration) -> usize {
-        let copies = time.as_secs_f64() / self.copy.as_secs_f64().max(1e-3);
+        let copies = time.as_secs_f64() / self.copy_time.as_secs_f64().max(1e-3);
         (copies as usize).max(1)
     }
 }
--- a/crates/group/tests/balance.rs
+++ b/crates/group/tests/balance.rs
@@ -44,15 +44,15 @@
 #[gtest]
 fn plans_are_right_maps_that_lower_the_skew() {
     for seed in 0..30 {
-        let (map, loads) = (ExpertMap::even(3, EXPERTS, RANKS), loads(seed));
+        let (map, loads) = (ExpertMap::round_robin(3, EXPERTS, RANKS), loads(seed));
 
         let Some(plan) = plan(&map, &loads, &costs()) else {
             continue;
         };
 
-        expect_true!(plan.map.fits(RANKS as u32), "seed {seed}");
+        expect_true!(plan.map.is_valid_for(RANKS as u32), "seed {seed}");
         expect_that!(plan.map.shape(), eq(map.shape()));
-        expect_that!(plan.loads, eq(map.loads(&plan.map)));
+        expect_that!(plan.copies, eq(map.copies_to_load(&plan.map)));
         let (before, after) = (
             skew(&map, &loads.layers, RANKS),
             skew(&plan.map, &loads.layers, RANKS),
@@ -73,7 +73,7 @@
 /// change little, or moves cost much. Cause: no payback, no hysteresis.
 #[gtest]
 fn nothing_moves_where_it_does_not_pay() {
-    let map = ExpertMap::even(3, EXPERTS, RANKS);
+    let map = ExpertMap::round_robin(3, EXPERTS, RANKS);
     let even = Estimate {
         layers: vec![vec![5.0; EXPERTS]; 3],
     };
@@ -94,7 +94,7 @@
 #[gtest]
 fn a_second_plan_right_after_the_first_moves_nothing() {
     for seed in 0..10 {
-        let (map, loads) = (ExpertMap::even(3, EXPERTS, RANKS), loads(seed));
+        let (map, loads) = (ExpertMap::round_robin(3, EXPERTS, RANKS), loads(seed));
         let Some(first) = plan(&map, &loads, &costs()) else {
             continue;
         };
@@ -107,7 +107,7 @@
 fn a_repack_is_a_right_map() {
     let map = repack(&loads(3), &costs());
 
-    expect_true!(map.fits(RANKS as u32));
+    expect_true!(map.is_valid_for(RANKS as u32));
     expect_that!(skew(&map, &loads(3).layers, RANKS), lt(1.5));
 }
 
--- a/crates/group/tests/demand.rs
+++ b/crates/group/tests/demand.rs
@@ -97,14 +97,14 @@
 #[googletest::test]
 fn counts_that_come_as_one_part_are_followed_look_by_look() {
     let mut demand = Demand::new();
-    demand.add(&[vec![90, 10]]);
-    demand.take_in();
+    demand.add_counts(&[vec![90, 10]]);
+    demand.update();
 
-    demand.add(&[vec![10, 90]]);
-    let moved = demand.take_in();
+    demand.add_counts(&[vec![10, 90]]);
+    let moved = demand.update();
 
     expect_true!(moved);
-    expect_that!(demand.looks(), eq(1.0));
+    expect_that!(demand.polls(), eq(1.0));
     let [searched, judged] = demand.halves(2);
     expect_that!(searched, eq(&vec![vec![0.1, 0.9]]));
     expect_that!(judged, eq(&searched));
@@ -114,10 +114,10 @@
 #[googletest::test]
 fn looks_in_which_nothing_was_counted_change_nothing() {
     let mut demand = Demand::new();
-    demand.add(&[vec![0, 0], vec![0, 0]]);
+    demand.add_counts(&[vec![0, 0], vec![0, 0]]);
 
-    let moved = demand.take_in();
+    let moved = demand.update();
 
     expect_false!(moved);
-    expect_that!(demand.looks(), eq(0.0));
+    expect_that!(demand.polls(), eq(0.0));
 }
--- a/crates/group/tests/engines/mod.rs
+++ b/crates/group/tests/engines/mod.rs
@@ -8,7 +8,9 @@
 
 pub(crate) use prompts::Prompts;
 
-use bn_group::switch_controller::{Ask, Call, Command, Pilot, Reply, Shape, View};
+use bn_group::switch_controller::{
+    Call, Command, EngineReport, EngineRequest, Reply, Shape, SwitchController,
+};
 use bn_group::{ExpertMap, Limits};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -24,9 +26,9 @@
 const SHAPE: Shape = Shape {
     sets: 2,
     experts: 16,
-    places: 6,
-    spare: 2,
-    copy: Duration::from_millis(50),
+    slots: 6,
+    new_per_set: 2,
+    copy_time: Duration::from_millis(50),
 };
 
 /// How orders fare.
@@ -53,7 +55,7 @@
 }
 
 struct Leader {
-    pilot: Pilot,
+    pilot: SwitchController,
     frozen: bool,
 }
 
@@ -75,7 +77,7 @@
     due: Duration,
     leaders: Vec<Leader>,
     coming: Vec<(Duration, Happening)>,
-    past: VecDeque<(Duration, Vec<View>)>,
+    past: VecDeque<(Duration, Vec<EngineReport>)>,
     orders: Vec<(Command, Reply)>,
     tokens: Vec<u64>,
     /// First pass that ran on two maps.
@@ -185,18 +187,18 @@
         let content = &self.engines[0].content;
         let ranks = self.engines.len();
         let map = match content.is_empty() {
-            true => ExpertMap::even(SHAPE.sets, SHAPE.experts, ranks),
+            true => ExpertMap::round_robin(SHAPE.sets, SHAPE.experts, ranks),
             false => ExpertMap::parse(content).unwrap(),
         };
         let limits = Limits {
             ranks,
-            places: SHAPE.places,
-            spare: SHAPE.spare,
-            copies: SHAPE.spare,
-            gain: 0.0,
-            paces: &vec![1.0; ranks],
+            slots: SHAPE.slots,
+            new_per_layer: SHAPE.new_per_set,
+            new_total: SHAPE.new_per_set,
+            min_gain: 0.0,
+            slowdowns: &vec![1.0; ranks],
         };
-        bn_group::lag(&map, &self.prompts.unwrap().loads(), limits)
+        bn_group::imbalance(&map, &self.prompts.unwrap().loads(), limits)
     }
 
     pub(crate) fn last_order(&self) -> Option<&'static str> {
@@ -327,9 +329,9 @@
         }
     }
 
-    fn view(&self, rank: usize) -> View {
+    fn view(&self, rank: usize) -> EngineReport {
         let engine = &self.engines[rank];
-        View {
+        EngineReport {
             group: "g".into(),
             epoch: self.epoch,
             rank: rank as u32,
@@ -344,19 +346,19 @@
                 .map(|p| p.0),
             armed: engine.armed.map(|a| a.0),
             held: engine.held,
-            pace: self.paces[rank],
+            slowdown: self.paces[rank],
             fresh: false,
-            lately: None,
+            recent_counts: None,
         }
     }
 
     fn send(&mut self, leader: usize, calls: Vec<Call>) {
         for call in calls {
             let way = Duration::from_millis(self.rng.random_range(1..40));
-            if let Ask::Order(_, _, token) = call.ask {
+            if let EngineRequest::Order(_, _, token) = call.request {
                 self.tokens.push(token);
             }
-            let is_order = matches!(call.ask, Ask::Order(..));
+            let is_order = matches!(call.request, EngineRequest::Order(..));
             let late = is_order && self.rng.random_bool(self.trouble.late);
             let lost = late || self.rng.random_bool(self.trouble.lost);
             let delay = match late {
@@ -364,7 +366,7 @@
                 false => way,
             };
             if lost {
-                let silent = Happening::Reply(leader, call.call, Reply::Silent);
+                let silent = Happening::Reply(leader, call.id, Reply::Silent);
                 self.coming.push((self.now + TIMEOUT, silent));
             }
             let arrive = Happening::Arrive(leader, call, !lost);
@@ -375,7 +377,7 @@
     fn happen(&mut self, happening: Happening) {
         match happening {
             Happening::Arrive(leader, call, answered) => {
-                let number = call.call;
+                let number = call.id;
                 let reply = self.arrive(call);
                 let back = match reply {
                     Reply::Silent => TIMEOUT,
@@ -395,7 +397,7 @@
                     return;
                 }
                 let calls = at.pilot.reply(now, call, reply);
-                self.told.extend(at.pilot.take_paces());
+                self.told.extend(at.pilot.take_slowdowns());
                 self.send(leader, calls);
             }
         }
@@ -408,27 +410,27 @@
         if self.down.is_some_and(|(down, _)| down == rank) {
             return Reply::Silent;
         }
-        match call.ask {
-            Ask::Report | Ask::Look | Ask::Copied(_)
+        match call.request {
+            EngineRequest::Report | EngineRequest::Poll | EngineRequest::ReportWhenCopied(_)
                 if self.rng.random_bool(self.trouble.beside) =>
             {
-                let lately = (call.ask == Ask::Look).then(|| self.lately(rank));
-                Reply::View(View {
+                let lately = (call.request == EngineRequest::Poll).then(|| self.lately(rank));
+                Reply::Report(EngineReport {
                     fresh: true,
-                    lately,
+                    recent_counts: lately,
                     ..self.view(rank)
                 })
             }
-            Ask::Report | Ask::Look | Ask::Copied(_) => {
+            EngineRequest::Report | EngineRequest::Poll | EngineRequest::ReportWhenCopied(_) => {
                 let lag = Duration::from_millis(self.rng.random_range(100..400));
                 let then = self.now.saturating_sub(lag);
                 let held = self.past.iter().rev().find(|(at, _)| *at <= then);
                 let view = held.or(self.past.front()).map(|(_, v)| v[rank].clone());
-                view.map_or(Reply::Silent, Reply::View)
+                view.map_or(Reply::Silent, Reply::Report)
             }
-            Ask::Counts => self.counts(rank),
-            Ask::List => Reply::Silent,
-            Ask::Order(command, epoch, token) => {
+            EngineRequest::Counts => self.counts(rank),
+            EngineRequest::List => Reply::Silent,
+            EngineRequest::Order(command, epoch, token) => {
                 let reply = self.order(rank, &command, epoch, token);
                 self.orders.push((command, reply.clone()));
                 reply
@@ -519,7 +521,7 @@
 
 fn leader(term: u64) -> Leader {
     Leader {
-        pilot: Pilot::new(term, SHAPE),
+        pilot: SwitchController::new(term, SHAPE),
         frozen: false,
     }
 }
--- a/crates/group/tests/large.rs
+++ b/crates/group/tests/large.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
-use bn_group::{ExpertMap, Limits, lag, spread};
+use bn_group::{ExpertMap, Limits, imbalance, rebalance};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::time::{Duration, Instant};
@@ -27,22 +27,25 @@
 #[ignore = "a measurement, not a check"]
 fn time_of_a_search_for_192_ranks() {
     let mut random = SmallRng::seed_from_u64(1);
-    let mut map = ExpertMap::even(SETS, EXPERTS, RANKS);
+    let mut map = ExpertMap::round_robin(SETS, EXPERTS, RANKS);
     let mut longest = Duration::ZERO;
     for _ in 0..6 {
         let loads = demand(&mut random);
         let limits = Limits {
             ranks: RANKS,
-            places: 3,
-            spare: 2,
-            copies: 15,
-            gain: 0.1,
-            paces: &[1.0; RANKS],
+            slots: 3,
+            new_per_layer: 2,
+            new_total: 15,
+            min_gain: 0.1,
+            slowdowns: &[1.0; RANKS],
         };
         let began = Instant::now();
-        let next = spread(&map, &loads, limits);
+        let next = rebalance(&map, &loads, limits);
         let took = began.elapsed();
-        let (before, after) = (lag(&map, &loads, limits), lag(&next, &loads, limits));
+        let (before, after) = (
+            imbalance(&map, &loads, limits),
+            imbalance(&next, &loads, limits),
+        );
         println!("busiest rank {before:.2} to {after:.2} of the mean, {took:?}");
         longest = longest.max(took);
         map = next;
--- a/crates/group/tests/muster.rs
+++ b/crates/group/tests/muster.rs
@@ -2,8 +2,8 @@
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
-use bn_group::Muster;
-use bn_group::switch_controller::{Call, Reply, View};
+use bn_group::GroupDiscovery;
+use bn_group::switch_controller::{Call, EngineReport, Reply};
 use googletest::prelude::*;
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 /// The report of a rank: even engines form one group, odd ones another.
 fn report(engine: &str) -> Reply {
     let number: u32 = engine[1..].parse().unwrap();
-    Reply::View(View {
+    Reply::Report(EngineReport {
         group: if number.is_multiple_of(2) {
             "even"
         } else {
@@ -26,13 +26,13 @@
         rank: number / 2,
         size: 3,
         open: true,
-        ..View::default()
+        ..EngineReport::default()
     })
 }
 
-fn answer(muster: &mut Muster, calls: Vec<Call>) {
+fn answer(muster: &mut GroupDiscovery, calls: Vec<Call>) {
     for call in calls {
-        muster.reply(call.call, report(&call.engine));
+        muster.reply(call.id, report(&call.engine));
     }
 }
 
@@ -40,12 +40,15 @@
 /// the service are taken for one group. Cause: nobody asked which they belong to.
 #[googletest::test]
 fn groups_are_learnt_from_what_ranks_report() {
-    let mut muster = Muster::new(0);
+    let mut muster = GroupDiscovery::new(0);
 
     let calls = muster.tick(NOW, &engines(), |_| false);
     answer(&mut muster, calls);
 
-    expect_that!(muster.whole(), elements_are![eq("even"), eq("odd")]);
+    expect_that!(
+        muster.complete_groups(),
+        elements_are![eq("even"), eq("odd")]
+    );
     expect_that!(muster.members("odd").len(), eq(3));
     expect_that!(muster.tick(NOW, &engines(), |_| false).len(), eq(0));
 }
@@ -55,16 +58,16 @@
 /// known of it for sure.
 #[googletest::test]
 fn a_group_with_an_unknown_rank_is_not_whole_and_unsure_ones_are_asked_again() {
-    let mut muster = Muster::new(0);
+    let mut muster = GroupDiscovery::new(0);
     let calls = muster.tick(NOW, &engines(), |_| false);
     answer(&mut muster, calls);
     let mut later = engines();
     later[2] = "e8".into();
 
     let calls = muster.tick(NOW, &later, |_| false);
-    let whole = muster.whole().to_vec();
+    let whole = muster.complete_groups().to_vec();
     let asked: Vec<String> = calls.iter().map(|c| c.engine.clone()).collect();
-    muster.reply(calls[0].call, Reply::Silent);
+    muster.reply(calls[0].id, Reply::Silent);
     let again = muster.tick(NOW + Duration::from_secs(1), &later, |g| g == "odd");
 
     expect_that!(whole, eq(&vec!["odd".to_string()]));
@@ -79,39 +82,39 @@
 /// Cause: it was waited for the rank that is gone, and nobody was asked again.
 #[googletest::test]
 fn a_group_that_lost_a_rank_is_learnt_anew() {
-    let mut muster = Muster::new(0);
+    let mut muster = GroupDiscovery::new(0);
     let calls = muster.tick(NOW, &engines(), |_| false);
     answer(&mut muster, calls);
     let left: Vec<String> = engines().into_iter().filter(|e| e != "e2").collect();
     let smaller = |engine: &str| match report(engine) {
-        Reply::View(view) if view.group == "even" => Reply::View(View { size: 2, ..view }),
+        Reply::Report(view) if view.group == "even" => {
+            Reply::Report(EngineReport { size: 2, ..view })
+        }
         other => other,
     };
 
     let calls = muster.tick(NOW + Duration::from_secs(1), &left, |_| false);
-    let before = muster.whole().to_vec();
+    let before = muster.complete_groups().to_vec();
     for call in &calls {
-        muster.reply(call.call, smaller(&call.engine));
+        muster.reply(call.id, smaller(&call.engine));
     }
 
     expect_that!(calls.len(), eq(2));
     expect_that!(before, eq(&vec!["odd".to_string()]));
-    expect_that!(muster.whole().len(), eq(2));
+    expect_that!(muster.complete_groups().len(), eq(2));
 }
 
 /// Symptom: a new leader takes seconds for its first map. Sequence: it learns of 192 engines one
 /// after the other, and of the group of each. Cause: what one engine told was told of all again.
 #[googletest::test]
 fn a_reply_tells_the_group_of_the_engine_that_made_it() {
-    let mut muster = Muster::new(0);
+    let mut muster = GroupDiscovery::new(0);
     let calls = muster.tick(NOW, &engines(), |_| false);
-    let replies = calls
-        .iter()
-        .map(|c| muster.reply(c.call, report(&c.engine)));
+    let replies = calls.iter().map(|c| muster.reply(c.id, report(&c.engine)));
 
     let told: Vec<(String, String)> = replies.flatten().collect();
 
     expect_that!(told.len(), eq(6));
     expect_that!(told[3], eq(&("e3".to_string(), "odd".to_string())));
-    expect_that!(muster.reply(calls[0].call, report("e0")), none());
+    expect_that!(muster.reply(calls[0].id, report("e0")), none());
 }
--- a/crates/group/tests/spread.rs
+++ b/crates/group/tests/spread.rs
@@ -2,21 +2,21 @@
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
-use bn_group::{ExpertMap, Limits, lag, spread};
+use bn_group::{ExpertMap, Limits, imbalance, rebalance};
 use googletest::prelude::*;
 
 const RANKS: usize = 16;
 const EXPERTS: usize = 64;
 const SOUND: [f64; RANKS] = [1.0; RANKS];
 
-fn limits(paces: &[f64]) -> Limits<'_> {
+fn limits(slowdowns: &[f64]) -> Limits<'_> {
     Limits {
         ranks: RANKS,
-        places: 5,
-        spare: 2,
-        copies: 8,
-        gain: 0.01,
-        paces,
+        slots: 5,
+        new_per_layer: 2,
+        new_total: 8,
+        min_gain: 0.01,
+        slowdowns,
     }
 }
 
@@ -34,14 +34,14 @@
 
 #[googletest::test]
 fn the_busiest_rank_gets_less_within_the_limits() {
-    let map = ExpertMap::even(1, EXPERTS, RANKS);
+    let map = ExpertMap::round_robin(1, EXPERTS, RANKS);
     let loads = skewed(0);
 
-    let next = spread(&map, &loads, limits(&SOUND));
+    let next = rebalance(&map, &loads, limits(&SOUND));
 
     let (before, after) = (
-        lag(&map, &loads, limits(&SOUND)),
-        lag(&next, &loads, limits(&SOUND)),
+        imbalance(&map, &loads, limits(&SOUND)),
+        imbalance(&next, &loads, limits(&SOUND)),
     );
     expect_that!(before, gt(3.0));
     expect_that!(after, lt(1.6));
@@ -57,17 +57,17 @@
 /// taken by copies of experts that were liked before. Cause: nothing gave way.
 #[googletest::test]
 fn copies_that_are_no_longer_needed_give_way() {
-    let map = spread(
-        &ExpertMap::even(1, EXPERTS, RANKS),
+    let map = rebalance(
+        &ExpertMap::round_robin(1, EXPERTS, RANKS),
         &skewed(0),
         limits(&SOUND),
     );
     let moved = skewed(32);
 
-    let once = spread(&map, &moved, limits(&SOUND));
-    let again = spread(&once, &moved, limits(&SOUND));
+    let once = rebalance(&map, &moved, limits(&SOUND));
+    let again = rebalance(&once, &moved, limits(&SOUND));
 
-    expect_that!(lag(&again, &moved, limits(&SOUND)), lt(1.6));
+    expect_that!(imbalance(&again, &moved, limits(&SOUND)), lt(1.6));
 }
 
 /// Symptom: every pass is slow though experts lie evenly. Sequence: one rank turns slow.
@@ -77,13 +77,13 @@
     let mut paces = SOUND;
     paces[3] = 3.0;
     let loads = vec![vec![100.0; EXPERTS]];
-    let map = ExpertMap::even(1, EXPERTS, RANKS);
+    let map = ExpertMap::round_robin(1, EXPERTS, RANKS);
 
-    let next = spread(&map, &loads, limits(&paces));
+    let next = rebalance(&map, &loads, limits(&paces));
 
     let (before, after) = (
-        lag(&map, &loads, limits(&paces)),
-        lag(&next, &loads, limits(&paces)),
+        imbalance(&map, &loads, limits(&paces)),
+        imbalance(&next, &loads, limits(&paces)),
     );
     expect_that!(before, approx_eq(3.0));
     expect_that!(after, lt(1.5));
@@ -98,12 +98,12 @@
     for hot in [0, 1, 2, 3] {
         loads[hot] = 60.0;
     }
-    let (map, loads) = (ExpertMap::even(1, EXPERTS, RANKS), vec![loads]);
+    let (map, loads) = (ExpertMap::round_robin(1, EXPERTS, RANKS), vec![loads]);
 
-    let next = spread(&map, &loads, limits(&SOUND));
+    let next = rebalance(&map, &loads, limits(&SOUND));
 
-    expect_that!(lag(&map, &loads, limits(&SOUND)), gt(1.7));
-    expect_that!(lag(&next, &loads, limits(&SOUND)), lt(1.25));
+    expect_that!(imbalance(&map, &loads, limits(&SOUND)), gt(1.7));
+    expect_that!(imbalance(&next, &loads, limits(&SOUND)), lt(1.25));
 }
 
 /// Two ranks hold two heavy experts each, two others light ones, and no place is free.
@@ -116,28 +116,28 @@
     let loads = vec![vec![9.0, 9.0, 1.0, 1.0]];
     let limits = Limits {
         ranks: 2,
-        places: 2,
-        spare: 1,
-        copies: 1,
-        gain: 0.01,
-        paces: &[1.0, 1.0],
+        slots: 2,
+        new_per_layer: 1,
+        new_total: 1,
+        min_gain: 0.01,
+        slowdowns: &[1.0, 1.0],
     };
 
-    let next = spread(&map, &loads, limits);
+    let next = rebalance(&map, &loads, limits);
 
-    expect_that!(lag(&next, &loads, limits), approx_eq(1.0));
+    expect_that!(imbalance(&next, &loads, limits), approx_eq(1.0));
 }
 
 #[googletest::test]
 fn a_rank_copies_no_more_than_it_may_over_all_layers() {
-    let map = ExpertMap::even(4, EXPERTS, RANKS);
+    let map = ExpertMap::round_robin(4, EXPERTS, RANKS);
     let loads: Vec<_> = (0..4).flat_map(|layer| skewed(16 * layer)).collect();
     let one = Limits {
-        copies: 1,
+        new_total: 1,
         ..limits(&SOUND)
     };
 
-    let next = spread(&map, &loads, one);
+    let next = rebalance(&map, &loads, one);
 
     let mut new = [0; RANKS];
     let pairs = map
@@ -151,5 +151,8 @@
         }
     }
     expect_that!(new.iter().max(), some(eq(&1)));
-    expect_that!(lag(&next, &loads, one), lt(0.7 * lag(&map, &loads, one)));
+    expect_that!(
+        imbalance(&next, &loads, one),
+        lt(0.7 * imbalance(&map, &loads, one))
+    );
 }
--- a/crates/state/src/apply.rs
+++ b/crates/state/src/apply.rs
@@ -206,7 +206,7 @@
             sized,
             "give at least one expert a rank, and 1 to 256 layers",
         )?;
-        let map = ExpertMap::even(layers as usize, experts as usize, ranks as usize);
+        let map = ExpertMap::round_robin(layers as usize, experts as usize, ranks as usize);
         let group = Group {
             service,
             ranks,
@@ -311,7 +311,7 @@
             "the map must name every expert of every layer",
         )?;
         need(
-            map.fits(group.ranks),
+            map.is_valid_for(group.ranks),
             "the map names a rank that is not there, or one twice",
         )?;
         need(
