--- a/crates/group/src/balance.rs
+++ b/crates/group/src/balance.rs
@@ -7,8 +7,8 @@
 
 /// Maximum number of copies that one plan loads, which keeps the pause short.
 const MAX_MOVES: usize = 64;
-/// A plan must gain more than this many times its cost: loads are estimates, and moving back costs
-/// as much again.
+/// A plan must gain more than its cost times this factor: loads are estimates, and moving back
+/// costs as much again.
 const HYSTERESIS: f64 = 1.5;
 
 /// Smoothed load of each expert of each layer.
--- a/crates/group/src/coordinator.rs
+++ b/crates/group/src/coordinator.rs
@@ -211,8 +211,7 @@
         self.reports.values().filter(is_recent).count() == self.committed.ranks as usize
     }
 
-    /// Orders for one rank. Grants continue while it prepares, so that loading does not pause the
-    /// group.
+    /// Orders for one rank. Grants continue while it prepares: loading does not pause the group.
     fn orders_for(&mut self, now: Duration, rank: RankId) -> Vec<Action> {
         let Some((_, report)) = self.reports.get(&rank).cloned() else {
             return Vec::new();
--- a/crates/group/src/discovery.rs
+++ b/crates/group/src/discovery.rs
@@ -26,8 +26,7 @@
 }
 
 impl GroupDiscovery {
-    /// Starts without groups. Call ids start at `first`, so that replies to earlier calls match
-    /// none.
+    /// Starts without groups. Calls are numbered from `first`, so that earlier replies match none.
     pub fn new(first: u64) -> GroupDiscovery {
         GroupDiscovery {
             last_call: first,
--- a/crates/group/src/rebalance.rs
+++ b/crates/group/src/rebalance.rs
@@ -39,8 +39,7 @@
     pub slowdowns: &'a [f64],
 }
 
-/// Time of the busiest rank over the mean of healthy ones, over all layers; 1 means perfectly
-/// balanced.
+/// Time of the busiest rank over the mean of healthy ones, over all layers; 1 is balanced.
 pub fn imbalance(map: &ExpertMap, loads: &[Vec<f64>], limits: Limits<'_>) -> f64 {
     let mean = loads.iter().flatten().sum::<f64>() / limits.ranks.max(1) as f64;
     if mean <= 0.0 {
@@ -155,8 +154,7 @@
         self.by_load.last().map_or(0.0, |r| self.sum(*r))
     }
 
-    /// Load of the busiest rank above the mean, in absolute terms: layers with more load weigh
-    /// more.
+    /// Load of the busiest rank above the mean, not relative: layers with more load weigh more.
     fn excess(&self) -> f64 {
         self.busiest() - self.mean
     }
--- a/crates/group/src/switch_controller/calls.rs
+++ b/crates/group/src/switch_controller/calls.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Number of ranks whose counts are read. Requests are spread over the ranks whatever their
-/// content, so a few ranks are representative; and each read from another instance pauses the
+/// content, so a few ranks are representative, and each read from another instance pauses the
 /// group.
 const SAMPLE: usize = 3;
 
--- a/crates/group/src/switch_controller/mod.rs
+++ b/crates/group/src/switch_controller/mod.rs
@@ -185,8 +185,7 @@
 }
 
 impl SwitchController {
-    /// Creates the controller of a term's leader, which does nothing else until every rank is
-    /// fenced.
+    /// Creates the controller of a term's leader. It does nothing else until all ranks are fenced.
     pub fn new(term: u64, shape: Shape) -> SwitchController {
         SwitchController {
             shape,
@@ -302,9 +301,8 @@
             return Vec::new();
         };
         let limit = self.attempt_limit();
-        // Another attempt through the relay takes little time. Waiting until an old report must
-        // have been superseded takes several times as long, and a group that was left held is
-        // stalled meanwhile.
+        // Another attempt through the relay is quick. Waiting until an old report must have been
+        // superseded takes several times as long, and a group that was left held is stalled.
         let stale =
             matches!(&reply, Reply::Report(r) if !r.fresh) && self.phase == Phase::CheckHold;
         if stale && attempt < FRESH_ATTEMPTS {
--- a/crates/group/src/switch_controller/polling.rs
+++ b/crates/group/src/switch_controller/polling.rs
@@ -66,9 +66,9 @@
         if !replies.values().all(|r| matches!(r, Reply::Done)) {
             return self.restart(now);
         }
-        // An engine that this leader fenced before keeps out every other leader, which would have
-        // to fence the whole group before giving any order. So the age of reports cannot hide
-        // another leader's orders.
+        // An engine that this leader fenced before keeps every other leader out, which would have
+        // to fence the whole group before any order. So old reports hide no order of another
+        // leader.
         let known = self.engines.iter().any(|e| self.fenced.contains(e));
         self.fenced = self.engines.clone();
         if known {
@@ -138,7 +138,7 @@
         self.measure_pass(now);
         self.update_slowdowns();
         match self.is_map_known() {
-            // The group has just formed: earlier demand still applies, and every pass on map 0 is
+            // The group has just formed: earlier demand still applies, and passes on map 0 are
             // slow.
             Some(true) if self.is_initial_map() && self.demand.polls() > 0.0 => {
                 match self.find_better_map() {
--- a/crates/group/src/switch_controller/switching.rs
+++ b/crates/group/src/switch_controller/switching.rs
@@ -114,8 +114,8 @@
         );
         if all_armed {
             self.extra_ahead = 0;
-            // From here on the content is known; a later switch that is rolled back must not
-            // replace it.
+            // The content is known from now on. A later switch that is rolled back must not replace
+            // it.
             self.map = Some((version, self.switch.map.clone()));
         }
         self.wait_for_poll(now)
--- a/crates/group/src/switch_controller/types.rs
+++ b/crates/group/src/switch_controller/types.rs
@@ -64,8 +64,7 @@
     Report,
     /// Request its report, with counts where these are free.
     Poll,
-    /// Request its report once the version is copied, or after a while; at once if no relay can
-    /// wait.
+    /// Request its report once the version is copied, or after a while; at once without a relay.
     ReportWhenCopied(Version),
     /// Request its selection counts by expert.
     Counts,
