--- a/crates/group/src/coordinator.rs
+++ b/crates/group/src/coordinator.rs
@@ -25,10 +25,10 @@
     pub map: String,
     /// The map that operators or the policy want next, with its version. No other map ever had this
     /// version number, so a prepared map cannot be mistaken for another.
-    pub wanted: Option<(Version, String)>,
+    pub pending: Option<(Version, String)>,
     /// Upper bound, kept in the log, of the steps that any leader may have granted. Ranks and
     /// leaders forget what was granted when they die.
-    pub reserved: Step,
+    pub reserved_until: Step,
     /// Ranks of the group.
     pub ranks: u32,
 }
@@ -38,7 +38,7 @@
 pub enum Action {
     /// Send an order to the agent of a rank.
     Send(RankId, Order),
-    /// Propose to the log that the wanted version takes effect at this step.
+    /// Propose to the log that the pending version takes effect at this step.
     Commit {
         /// The version.
         version: Version,
@@ -50,7 +50,7 @@
         /// First step that must not be granted.
         until: Step,
     },
-    /// Propose to the log that the wanted map is cancelled.
+    /// Propose to the log that the pending map is cancelled.
     Cancel {
         /// The version.
         version: Version,
@@ -101,12 +101,12 @@
 
     /// Adopts the state now committed to the log.
     pub fn update_committed(&mut self, committed: CommittedState) {
-        let same_map = (committed.version, &committed.wanted)
-            == (self.committed.version, &self.committed.wanted);
+        let same_map = (committed.version, &committed.pending)
+            == (self.committed.version, &self.committed.pending);
         if !same_map {
             self.phase = Phase::Steady;
         }
-        if committed.reserved > self.committed.reserved {
+        if committed.reserved_until > self.committed.reserved_until {
             self.reserved_at = None;
         }
         self.committed = committed;
@@ -141,7 +141,7 @@
     fn reserve(&mut self, now: Duration) -> Option<Action> {
         let (_, slowest) = self.slowest().filter(|_| self.all_present(now))?;
         let too_soon = self.reserved_at.is_some_and(|at| now < at + PROPOSE_RETRY);
-        let enough = slowest + self.window + self.window / 2 <= self.committed.reserved;
+        let enough = slowest + self.window + self.window / 2 <= self.committed.reserved_until;
         if enough || too_soon || matches!(self.phase, Phase::Committing(..)) {
             return None;
         }
@@ -158,7 +158,7 @@
     }
 
     fn advance(&mut self, now: Duration) -> Vec<Action> {
-        let Some(version) = self.committed.wanted.as_ref().map(|(v, _)| *v) else {
+        let Some(version) = self.committed.pending.as_ref().map(|(v, _)| *v) else {
             return Vec::new();
         };
         match self.phase {
@@ -190,7 +190,7 @@
                 .map(|(_, r)| r.granted)
                 .max()
                 .unwrap_or(0);
-            let from = granted.max(self.granted).max(self.committed.reserved);
+            let from = granted.max(self.granted).max(self.committed.reserved_until);
             self.phase = Phase::Committing(from, now);
             return vec![Action::Commit { version, from }];
         }
@@ -217,7 +217,7 @@
             return Vec::new();
         };
         let mut kinds = Vec::new();
-        if let (Some((version, map)), Phase::Preparing(_)) = (&self.committed.wanted, &self.phase)
+        if let (Some((version, map)), Phase::Preparing(_)) = (&self.committed.pending, &self.phase)
             && (report.prepared != *version || report.fence != self.fence)
         {
             let (version, map) = (*version, map.clone());
@@ -254,7 +254,7 @@
             return None;
         }
         let (_, slowest) = self.slowest()?;
-        let until = (slowest + self.window).min(self.committed.reserved);
+        let until = (slowest + self.window).min(self.committed.reserved_until);
         Some(match self.phase {
             Phase::Committing(from, _) => until.min(from),
             _ => until,
--- a/crates/group/tests/coordinator.rs
+++ b/crates/group/tests/coordinator.rs
@@ -16,8 +16,8 @@
         version: 1,
         first_step: 0,
         map: "1".into(),
-        wanted: None,
-        reserved,
+        pending: None,
+        reserved_until: reserved,
         ranks: 2,
     }
 }
@@ -25,7 +25,7 @@
 /// The same, with version 2 wanted.
 fn wanting(reserved: Step) -> CommittedState {
     CommittedState {
-        wanted: Some((2, "2".into())),
+        pending: Some((2, "2".into())),
         ..steady(reserved)
     }
 }
@@ -64,7 +64,7 @@
         version: 2,
         first_step: 500,
         map: "2".into(),
-        wanted: Some((3, "3".into())),
+        pending: Some((3, "3".into())),
         ..steady(10_000)
     };
     let mut leader = Coordinator::new(1, WINDOW, settled);
--- a/crates/group/tests/switches.rs
+++ b/crates/group/tests/switches.rs
@@ -110,8 +110,8 @@
             version: 1,
             first_step: 0,
             map: "1".into(),
-            wanted: None,
-            reserved: 0,
+            pending: None,
+            reserved_until: 0,
             ranks: RANKS,
         };
         let mut world = World {
@@ -165,7 +165,7 @@
             Act::Elect => self.elect(),
             Act::Want => {
                 self.versions += 1;
-                self.settled.wanted = Some((self.versions, format!("{}", self.versions)));
+                self.settled.pending = Some((self.versions, format!("{}", self.versions)));
             }
             Act::Engine(r) => {
                 // It joins the group where the group is.
@@ -279,21 +279,21 @@
                 self.commits.push((ticks - 1, leader, version, from));
                 continue;
             }
-            let wanted = self.settled.wanted.take_if(|(v, _)| *v == version);
+            let wanted = self.settled.pending.take_if(|(v, _)| *v == version);
             let latest = leader + 1 == self.leaders.len();
             match wanted {
                 Some((_, map)) if latest => {
-                    let (ranks, reserved) = (RANKS, self.settled.reserved);
+                    let (ranks, reserved) = (RANKS, self.settled.reserved_until);
                     self.settled = CommittedState {
                         version,
                         first_step: from,
                         map,
-                        wanted: None,
-                        reserved,
+                        pending: None,
+                        reserved_until: reserved,
                         ranks,
                     };
                 }
-                other => self.settled.wanted = other.or(self.settled.wanted.take()),
+                other => self.settled.pending = other.or(self.settled.pending.take()),
             }
         }
         let settled = self.settled.clone();
@@ -337,9 +337,9 @@
                     self.commits.push((ticks, leader, version, from));
                 }
                 Action::Reserve { until } if latest => {
-                    self.settled.reserved = self.settled.reserved.max(until);
+                    self.settled.reserved_until = self.settled.reserved_until.max(until);
                 }
-                Action::Cancel { .. } if latest => self.settled.wanted = None,
+                Action::Cancel { .. } if latest => self.settled.pending = None,
                 Action::Reserve { .. } | Action::Cancel { .. } => {}
             }
         }
@@ -359,7 +359,7 @@
     for rank in &mut world.ranks {
         rank.observe_fence(world.leaders.len() as u64);
     }
-    world.settled.wanted = None;
+    world.settled.pending = None;
     world.run(200)?;
     let before = world.versions;
     world.act(&Act::Want)?;
@@ -430,7 +430,7 @@
     );
     world.run(60).unwrap();
     let before = world.engines[0].next;
-    world.settled.wanted = Some((2, "2".into()));
+    world.settled.pending = Some((2, "2".into()));
     let settled = world.settled.clone();
     world.leaders[0].update_committed(settled);
 
--- a/crates/node/src/control/groups.rs
+++ b/crates/node/src/control/groups.rs
@@ -134,11 +134,11 @@
         version: group.map_version,
         first_step: group.map_step,
         map: group.map.to_string(),
-        wanted: group
+        pending: group
             .pending
             .as_ref()
             .map(|(version, map)| (*version, map.to_string())),
-        reserved: group.reserved_until,
+        reserved_until: group.reserved_until,
         ranks: group.ranks,
     }
 }
