--- a/crates/coordinator/src/announcements.rs
+++ b/crates/coordinator/src/announcements.rs
@@ -1,4 +1,5 @@
-//! What backend servers say of themselves, to this coordinator or to others that tell it.
+//! Announcements, departures and limits of backend servers, received here or from other
+//! coordinators.
 
 use crate::core::{Core, answered};
 use crate::tell::Told;
@@ -11,21 +12,21 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Bits of what a leader told that count within its term.
+/// Bits of a rank version that count within a leader's term.
 const TERM_BITS: u32 = 32;
 
-/// From where a change of a backend server is known.
+/// Source of a change to a backend server's registration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Source {
-    /// It announced itself here.
+    /// The backend server announced itself here.
     Announced,
-    /// It said here that it leaves.
+    /// The backend server reported here that it leaves.
     Left,
-    /// It told this leader its group or pace.
+    /// It reported its group or slowdown to this leader.
     Rank,
-    /// A gateway heard its limit.
+    /// A gateway reported its limit.
     Limit,
-    /// Another coordinator told it.
+    /// Another coordinator sent the change.
     Coordinator,
 }
 
@@ -42,9 +43,9 @@
 }
 
 impl Core {
-    /// Takes an announcement in; answered with whether it is one of ours. One for a service that
-    /// no document names is not: it must not take the place of a good backend server that has
-    /// this id.
+    /// Merges an announcement and answers whether it was accepted. An announcement for a service
+    /// that no document names is rejected: it must not replace a valid backend server with the same
+    /// id.
     pub(crate) fn on_announce(
         &mut self,
         now: Duration,
@@ -62,17 +63,17 @@
         self.untold.once_told(Told::Announced(done));
     }
 
-    /// Whether a backend server's service is one of ours. Where the newest document is not known it may
-    /// name others than the one held here: one of them is taken in, unless its id is that of a
-    /// backend server that is known to be another service's.
+    /// Whether to accept a backend server by its service. If the newest document is not known, it
+    /// may name services that the local one does not: such a backend server is accepted unless its
+    /// id is registered for another service.
     fn may_be_ours(&mut self, record: &Record) -> bool {
         let known = self.registry.get(&record.id);
         let other = known.is_some_and(|k| k.service != record.service);
         self.is_served(&record.service) || (!self.current && !other)
     }
 
-    /// Whether a service is one that the document names. Before there is a document all are: backend
-    /// servers are there sooner than the first.
+    /// Whether the document names a service. Every service is accepted until the first document is
+    /// committed, because backend servers start before that.
     fn is_served(&mut self, service: &str) -> bool {
         if self.settled.version == 0 || self.registry.present().any(|r| r.service == service) {
             return true;
@@ -90,14 +91,14 @@
         match plan {
             Ok(plan) => plan.services().keys().cloned().collect(),
             Err(e) => {
-                // It was checked before it was settled, so this is a fault of ours.
+                // The document was validated before it was proposed, so this is a bug.
                 log::error!("document {}: {e}", self.settled.version);
                 IndexSet::new()
             }
         }
     }
 
-    /// A backend server told its lock-step group, or how fast it is, to this leader.
+    /// A backend server reported its lock-step group or its slowdown to this leader.
     pub(crate) fn on_rank(&mut self, now: Duration, id: &str, group: &str, pace: u32) {
         let Some(record) = self.registry.get(id) else {
             return;
@@ -117,7 +118,8 @@
         self.spread(id, change, Source::Rank);
     }
 
-    /// A gateway heard of limits. One of a start that is not known is told again until it is.
+    /// A gateway reports limits. A limit for an incarnation that is not registered yet is reported
+    /// again until it is.
     pub(crate) fn on_limits(&mut self, now: Duration, inbox: SocketAddr, heard: wire::LimitsHeard) {
         for raw in heard.limits {
             match ServerLimit::try_from(raw) {
@@ -144,7 +146,7 @@
         self.spread(&heard.id, change, Source::Limit);
     }
 
-    /// Which backend servers name a limit, for operators.
+    /// Lists the backend servers that set a limit, for operators.
     pub(crate) fn show_limits(&self) -> String {
         let limited = self.registry.present();
         let limited = limited.filter_map(|r| Some((r, r.limit.rate?)));
@@ -157,14 +159,14 @@
         json!({ "backend_servers": rows.collect::<Vec<_>>() }).to_string()
     }
 
-    /// A backend server is gone for good.
+    /// Records that a backend server has left for good.
     pub(crate) fn on_leave(&mut self, now: Duration, id: &str, done: oneshot::Sender<()>) {
         let change = self.registry.record_departure(now, id);
         self.spread(id, change, Source::Left);
         self.untold.once_told(Told::Left(done));
     }
 
-    /// Notes what is to be told of a backend server.
+    /// Logs a change of a backend server and queues it for the next push.
     pub(crate) fn spread(&mut self, id: &str, change: Change, source: Source) {
         let Some(record) = self.registry.get(id).filter(|_| change == Change::Updated) else {
             return;
--- a/crates/coordinator/src/asks.rs
+++ b/crates/coordinator/src/asks.rs
@@ -1,4 +1,4 @@
-//! What a pilot asks, in the forms that engines and relays take, and their answers read.
+//! Encodes the requests of switch controllers for engines and relays, and decodes the responses.
 
 use crate::relays::About;
 use bn_group::ExpertMap;
@@ -8,10 +8,10 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Reads status and body of an answer.
+/// Decodes status and body of a response.
 pub(crate) type Read = fn(u16, &[u8]) -> Reply;
 
-/// The last map that was ordered, as orders have it.
+/// The last ordered map, encoded for HTTP orders and for relays.
 #[derive(Default)]
 pub(crate) struct Written {
     ranked: Option<(Arc<ExpertMap>, RankedMap)>,
@@ -19,7 +19,7 @@
 }
 
 impl Written {
-    /// Path and body of a call to an engine, and what reads its answer.
+    /// Path and body of a request to an engine, and the decoder of its response.
     pub(crate) fn call(&mut self, ask: EngineRequest) -> (&'static str, Option<Vec<u8>>, Read) {
         match ask {
             EngineRequest::Report | EngineRequest::Poll | EngineRequest::ReportWhenCopied(_) => {
@@ -34,14 +34,14 @@
                         .map(|map| Operation::Prepare { version, map }),
                     other => operation(&other),
                 };
-                // An engine refuses an empty order.
+                // Engines refuse an empty order.
                 let body = operation.map(|o| engine::order(o, epoch, token));
                 (engine::ORDER, Some(body.unwrap_or_default()), read_order)
             }
         }
     }
 
-    /// The same as relays are sent it.
+    /// The map as it is sent to relays.
     pub(crate) fn packed(&mut self, map: &Arc<ExpertMap>) -> Vec<u8> {
         if let Some((known, packed)) = &self.packed
             && Arc::ptr_eq(known, map)
@@ -49,7 +49,7 @@
             return packed.clone();
         }
         let packed = bn_engine::pack_places(ranks(map), &map.layers);
-        // A relay refuses an empty map, and its engine is then called straight.
+        // A relay refuses an empty map, and its engine is then called directly.
         let packed = packed.unwrap_or_else(|e| {
             log::error!("a map: {e}");
             Vec::new()
@@ -58,7 +58,7 @@
         packed
     }
 
-    /// A map as orders have it. It is written once for all ranks: it is some KB, and the
+    /// The map as orders contain it. It is encoded once for all ranks: it has some KB, and the
     /// leader has a small share of a core.
     fn ranked(&mut self, map: &Arc<ExpertMap>) -> Option<RankedMap> {
         if let Some((known, ranked)) = &self.ranked
@@ -73,7 +73,7 @@
     }
 }
 
-/// What a relay is asked, and what that is about; `counts` where a look takes them, too.
+/// Builds the request to a relay, and its kind; `counts` asks a poll to include token counts.
 pub(crate) fn engine_ask(
     number: u64,
     relay: SocketAddr,
@@ -113,7 +113,7 @@
     (ask, about)
 }
 
-/// An order without a map.
+/// Builds an order that carries no map.
 fn operation(command: &Command) -> Option<Operation> {
     Some(match *command {
         Command::Prepare(..) => return None,
@@ -129,7 +129,7 @@
     last.map_or(0, |r| *r as usize + 1)
 }
 
-/// The experts of each rank, set by set.
+/// The experts of each rank, layer by layer.
 fn by_rank(map: &ExpertMap) -> Vec<Vec<Vec<u32>>> {
     let ranks = ranks(map);
     let layer = |layer: &Vec<Vec<u32>>| {
@@ -185,7 +185,7 @@
     read_status(u32::from(status))
 }
 
-/// What the status of an order's answer says.
+/// Interprets the status of the response to an order.
 pub(crate) fn read_status(status: u32) -> Reply {
     match status {
         200 | 202 => Reply::Done,
--- a/crates/coordinator/src/carry.rs
+++ b/crates/coordinator/src/carry.rs
@@ -1,5 +1,5 @@
-//! Carrying the calls of pilots to engines, and the answers back: through the relay beside an
-//! engine, many by way of few, or straight over HTTP.
+//! Sends the requests of switch controllers to engines and returns the replies: through the relay
+//! next to an engine, in batches that one relay forwards, or directly over HTTP.
 
 use crate::asks::engine_ask;
 use crate::core::Core;
@@ -13,14 +13,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Ranks up to which the leader arms each itself: all of them are armed within a third of a pass, on
-/// a twentieth of a core.
+/// Groups of at most this many ranks are armed by the leader itself, rank by rank: on 5 % of a
+/// core, all are armed within a third of a forward pass.
 const MANY: usize = 16;
-/// Ways that tries take in turn.
+/// Number of paths that attempts alternate between.
 const WAYS: u32 = 3;
 
 impl Core {
-    /// Sends calls on their ways: through relays in parts, each by way of one of them, or straight.
+    /// Sends each call by its path: in batches that one relay forwards, by another relay, or
+    /// directly.
     pub(super) fn carry(
         &mut self,
         now: Duration,
@@ -71,7 +72,8 @@
         }
     }
 
-    /// By way of another relay, whose link stands; its own may have none.
+    /// Sends a call by another relay that is connected; the engine's own relay may have no link to
+    /// the leader.
     fn carry_around(
         &mut self,
         now: Duration,
@@ -87,7 +89,7 @@
         self.ask_by(now, group, head, &calls, &map);
     }
 
-    /// The map that orders among these are about, packed; they are all about the same.
+    /// The packed map of the prepare orders in a batch; they all have the same one.
     fn map_of(&mut self, calls: &[Beside]) -> Vec<u8> {
         let map = calls.iter().find_map(|b| match &b.call.request {
             EngineRequest::Order(Command::Prepare(_, map), ..) => Some(map.clone()),
@@ -96,11 +98,11 @@
         map.map_or_else(Vec::new, |map| self.groups.written.packed(&map))
     }
 
-    /// Asks some relays, all by way of one of them.
+    /// Sends a batch to its first relay, which forwards it to the others.
     fn ask_relays(&mut self, now: Duration, group: &GroupId, calls: &[Beside], map: &[u8]) {
-        // The same one each time: links that are new cost the leader and the relays processor time, and
-        // a switch of a large group would need dozens of them a round. One that is dead is found out
-        // and passed over, and the next takes its place.
+        // The same relay is used each time: new links cost the leader and the relays CPU time, and
+        // a switch of a large group would need dozens of them per round. A relay that is dead is
+        // detected and skipped, and the next one replaces it.
         if let Some(head) = calls.first().map(|b| b.relay) {
             self.ask_by(now, group, head, calls, map);
         }
@@ -162,7 +164,8 @@
         self.ring.put(Event::Called(group.clone(), call, reply));
     }
 
-    /// Asks that a relay left unanswered: the pilot asks again, straight this time.
+    /// Fails the requests that a relay left unanswered; the switch controller retries them
+    /// directly.
     pub(super) fn drop_overdue(&mut self, now: Duration) {
         for ask in self.relays.overdue(now) {
             self.net.forget(ask.head);
@@ -176,12 +179,12 @@
         self.lines.put("relay_silent", fields);
     }
 
-    /// Takes the answers that a relay collected.
+    /// Handles the responses that a relay collected.
     pub(crate) fn on_engine_answers(&mut self, now: Duration, answers: EngineAnswers) {
         let EngineAnswers { answers, counts } = answers;
         let mut lately = (!counts.is_empty()).then_some(counts);
         for answer in answers {
-            // One that comes after its time was followed up already.
+            // A response after the timeout: the request has been failed already.
             let Some(ask) = self.relays.answered(now, answer.call) else {
                 continue;
             };
@@ -191,7 +194,8 @@
             } else {
                 self.relays.heard(ask.relay);
             }
-            // Counts are of all engines together: they go with any one.
+            // Counts are the sum over all engines of the batch, so they go with any one of the
+            // replies.
             let lately = answer.view.as_ref().and_then(|_| lately.take());
             let reply = relays::read(ask.about, answer, lately);
             self.on_called(now, &ask.group, ask.call, reply);
@@ -199,37 +203,38 @@
     }
 }
 
-/// A call that goes by the relay beside its engine.
+/// A call that is sent through the relay next to its engine.
 struct Beside {
     relay: SocketAddr,
     /// Failure domain of the engine, and so of its relay.
     domain: String,
-    /// A look takes counts, too.
+    /// Whether a poll includes token counts.
     counts: bool,
     call: switch_controller::Call,
 }
 
-/// How a call gets to an engine.
+/// Path of a call to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Way {
     /// Over HTTP, from the leader.
     Straight,
-    /// Through the relay beside it.
+    /// Through the relay next to the engine.
     Relay,
-    /// Through that relay, by way of another one.
+    /// Through that relay, forwarded by another one.
     Around,
 }
 
-/// What is asked through a relay, in a group of so many ranks. Orders around a hold go straight from
-/// the leader: a relay that stops with one in its hands leaves the group standing until the next
-/// try. Those that all of many ranks get go through relays, too: a call to each of them takes a leader
-/// with a twentieth of a core longer than switches are set ahead, and the group would stand meanwhile.
+/// Chooses the path of a call in a group of `ranks` ranks. Orders around a hold are sent directly
+/// by the leader: a relay that stops before it passes one on stalls the group until the next
+/// attempt. Orders to all ranks of a large group are sent through relays as well: calling each rank
+/// would take a leader with 5 % of a core longer than the lead time of a switch, and the group
+/// would be stalled meanwhile.
 ///
-/// Each further try goes another way: new connections to an engine may be refused while the link to its
-/// relay still stands, and the other way round. Both begin at the leader, though, and one that
-/// cannot open connections has no link to relays that others passed its asks on to: the third try goes
-/// by way of a relay that it hears. Else a group that is held stands until the leader can open
-/// connections again.
+/// Each further attempt uses another path: new connections to an engine may be refused while the
+/// link to its relay still works, and vice versa. Both of these paths start at the leader, though,
+/// and a leader that cannot open connections has no link to relays that only got forwarded
+/// requests: the third attempt goes through a relay that answers the leader. Otherwise a held group
+/// is stalled until the leader can open connections again.
 pub fn way(call: &switch_controller::Call, ranks: usize) -> Way {
     let by_relay = match &call.request {
         EngineRequest::Report | EngineRequest::Poll | EngineRequest::ReportWhenCopied(_) => true,
@@ -238,7 +243,7 @@
             Command::Arm(..) | Command::Disarm(..) => ranks > MANY,
             Command::Hold(..) | Command::Go(..) => false,
         },
-        // Relays do not take these.
+        // Relays do not support these requests.
         EngineRequest::Counts | EngineRequest::List => return Way::Straight,
     };
     match (call.attempt % WAYS, by_relay) {
--- a/crates/coordinator/src/cases.rs
+++ b/crates/coordinator/src/cases.rs
@@ -1,9 +1,10 @@
-//! Requests that end backend servers: every coordinator keeps the cases, the leader lets suspects be
-//! tried, one try at a time.
+//! Requests that terminate backend servers: every coordinator keeps the cases; the leader grants
+//! trials of suspect requests, one at a time.
 //!
-//! Gateways tell all coordinators of each end, so that a new leader knows what the one before it knew.
-//! What is refused is on the disk of each, too: after a common stop of all processes nobody else would
-//! remember it, and it would end three backend servers again.
+//! Gateways report each termination to all coordinators, so that a new leader knows what its
+//! predecessor knew. Refused requests are also on the disk of each coordinator: after a common stop
+//! of all processes they would otherwise be forgotten, and each would terminate three backend
+//! servers again.
 
 use crate::core::Core;
 use bn_quarantine::{
@@ -20,32 +21,32 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// File of what is refused, in the data folder.
+/// File with the refused requests, in the data directory.
 const FILE: &str = "refused";
-/// Between two looks for cases that are too old.
+/// Interval between checks for expired cases.
 const FORGET_GAP: Duration = Duration::from_secs(10);
 
-/// Time within which several gateways tell of the same end: ranks that wait for another are given up
-/// after some seconds.
+/// Time within which several gateways report the same termination: ranks that wait for another one
+/// are abandoned after some seconds.
 const TOLD_FOR: Duration = Duration::from_secs(15);
 
-/// A coordinator's cases.
+/// Cases of a coordinator.
 pub(crate) struct Cases {
     pub(crate) table: Table,
     trials: Trials,
     side: Side,
-    /// Ends that gateways were told of.
+    /// Terminations that have been pushed to gateways.
     ends: IndexMap<Start, Duration>,
-    /// What the disk holds.
+    /// Content of the file.
     written: Vec<CaseUpdate>,
     due: Duration,
-    /// Change up to which gateways were told.
+    /// Cursor up to which cases have been pushed to gateways.
     pushed: u64,
 }
 
 impl Cases {
-    /// Begins with what the disk holds. What cannot be read is lost, and costs backend servers until it
-    /// is known again; that is no reason not to start.
+    /// Loads the refused requests from disk. Unreadable ones are lost and cost backend servers
+    /// until they are detected again; the coordinator starts all the same.
     pub(crate) fn open(data: &Path) -> Cases {
         let side = Side::new(data, FILE, Disk::default());
         let mut table = Table::default();
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Takes over what was known before the disk failed.
+    /// Takes over the cases that were known before the disk failed.
     pub(crate) fn inherit(&mut self, now: Duration, before: Cases) {
         for told in before.table.since(0) {
             self.table.merge(now, &told);
@@ -77,7 +78,7 @@
         self.trials = before.trials;
     }
 
-    /// Cases that changed after `turn`. Gateways are told only of those that they act on.
+    /// Cases that changed after `cursor`. Gateways only get those that affect them.
     pub(crate) fn told_since(&self, turn: u64, gateway: bool) -> Vec<wire::Case> {
         let told = self.table.since(turn);
         let told = told.iter().filter(|t| !gateway || is_acted_on(&t.case));
@@ -85,7 +86,7 @@
     }
 }
 
-/// The cases in the file's content; none where there is no file.
+/// Decodes the content of the file; no cases if there is no file.
 fn decode(content: Option<Vec<u8>>) -> std::result::Result<Vec<CaseUpdate>, String> {
     let Some(content) = content else {
         return Ok(Vec::new());
@@ -96,14 +97,14 @@
         .map_err(|e| e.to_string())
 }
 
-/// Whether a gateway does anything else than without the case. A single end is held against a dozen
-/// requests, and says nothing yet.
+/// Whether the case changes what a gateway does. A single termination is counted against a dozen
+/// requests and proves nothing yet.
 fn is_acted_on(case: &Case) -> bool {
     case.status() != CaseStatus::Free || case.round > 0
 }
 
 impl Core {
-    /// A gateway saw a backend server end.
+    /// A gateway reports that a backend server terminated.
     pub(crate) fn on_ended(&mut self, now: Duration, inbox: SocketAddr, raw: wire::Ended) {
         let end = match Termination::try_from(raw) {
             Ok(end) => end,
@@ -126,8 +127,8 @@
         }
     }
 
-    /// Tells gateways of an end once: those that had nothing there would go on sending to its group, or
-    /// try to connect.
+    /// Pushes a termination to gateways once: those without a request there would go on sending
+    /// requests to its group, or try to connect.
     fn tell_end(&mut self, now: Duration, start: &Start) {
         self.cases.ends.retain(|_, at| now < *at + TOLD_FOR);
         if self.cases.ends.insert(start.clone(), now).is_some() {
@@ -140,7 +141,7 @@
         self.push_to_own(&news);
     }
 
-    /// Another coordinator's cases.
+    /// Merges the cases of another coordinator.
     pub(crate) fn take_cases(&mut self, now: Duration, inbox: SocketAddr, raw: Vec<wire::Case>) {
         for told in raw.into_iter().map(CaseUpdate::try_from) {
             match told {
@@ -154,7 +155,8 @@
         }
     }
 
-    /// A gateway would try a suspect. Only the leader answers: two of them at once would let two run.
+    /// A gateway asks to try a suspect request. Only the leader answers: two coordinators could
+    /// grant two trials at once.
     pub(crate) fn on_trial_ask(&mut self, now: Duration, inbox: SocketAddr, ask: &wire::TrialAsk) {
         let Ok(digest) = read_digest(&ask.digest) else {
             return;
@@ -176,7 +178,7 @@
         self.net.send(inbox, Body::TrialAnswer(answer));
     }
 
-    /// A run of a suspect is over.
+    /// A trial of a suspect request is over.
     pub(crate) fn on_run_done(&mut self, now: Duration, inbox: SocketAddr, done: &wire::RunDone) {
         let Ok(digest) = read_digest(&done.digest) else {
             return;
@@ -187,7 +189,7 @@
         }
     }
 
-    /// An operator vouches for a request.
+    /// An operator declares a request harmless.
     pub(crate) fn pardon(&mut self, now: Duration, digest: Digest) -> bool {
         let closed = self.cases.table.close(now, digest);
         if closed {
@@ -196,7 +198,7 @@
         closed
     }
 
-    /// What is refused, and what is suspected, for operators.
+    /// Lists refused and suspect requests for operators.
     pub(crate) fn show_cases(&self) -> String {
         let told = self.cases.table.since(0).into_iter();
         let told = told.filter(|t| t.case.status() != CaseStatus::Free);
@@ -222,12 +224,12 @@
         );
     }
 
-    /// Tells gateways at once what they act on, and writes what is refused.
+    /// Pushes changed cases that affect gateways at once, and writes refused requests to disk.
     pub(crate) fn keep_cases(&mut self, now: Duration) {
         if now >= self.cases.due {
             self.cases.due = now + FORGET_GAP;
             self.cases.table.expire(now);
-            // Once more, where the disk did not take it.
+            // Retries a write that failed.
             self.write_refused();
         }
         let turn = self.cases.table.cursor();
@@ -246,7 +248,7 @@
         self.write_refused();
     }
 
-    /// A disk that does not take it is noted: the other coordinators have it, too.
+    /// A failed write is only logged: the other coordinators have the cases as well.
     fn write_refused(&mut self) {
         let refused = self.cases.table.refused();
         if refused == self.cases.written {
--- a/crates/coordinator/src/core.rs
+++ b/crates/coordinator/src/core.rs
@@ -1,4 +1,4 @@
-//! The thread that owns the log, the settled document and the registrations.
+//! The thread that owns the log, the committed document and the registrations.
 
 use crate::durable::{first_members, restored};
 use crate::ring::{Event, Inlet, Ring, ring};
@@ -26,21 +26,23 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
-/// Longest wait for an event: the precision of heartbeats and elections.
+/// Longest wait for an event: the resolution of heartbeats and elections.
 const TICK: Duration = Duration::from_millis(20);
-/// Events taken before one write: group commit.
+/// Events handled before one write: group commit.
 const GROUP: usize = 256;
-/// Time for which events that may wait are taken before the thread turns to consensus again: a
-/// sixth of the time between heartbeats.
+/// Time spent on deferrable events before the thread returns to consensus: a sixth of the heartbeat
+/// interval.
 const TURN: Duration = Duration::from_millis(20);
-/// For how long what a leader said counts as the newest: a leader that lost its majority steps down
-/// within this time, and whoever is cut off gives no document to gateways that hold none.
+/// For how long what a leader sent counts as the newest: a leader that lost its majority steps down
+/// within this time, and a coordinator that is cut off sends no document to gateways that have
+/// none.
 const CURRENT: Duration = Duration::from_millis(900);
 
-/// A turn of the thread that takes so long was held up: half of a gateway's time between two asks.
+/// An iteration of the event loop that takes this long was suspended or overloaded: half of the
+/// interval between two polls of a gateway.
 const HELD_UP: Duration = Duration::from_millis(400);
 
-/// All state of a coordinator.
+/// State of a coordinator.
 pub(crate) struct Core {
     pub(crate) net: Net,
     pub(crate) lines: Lines,
@@ -53,7 +55,7 @@
     pub(crate) applied: u64,
     pub(crate) logged_bytes: usize,
     pub(crate) registry: Registry,
-    /// Services that the document of that version names.
+    /// Services in the document, and the version of that document.
     pub(crate) services: (u64, IndexSet<String>),
     pub(crate) directory: Directory,
     pub(crate) peers: news::Peers,
@@ -62,7 +64,7 @@
     pub(crate) waits: settling::Waits,
     pub(crate) reads: reads::Reads,
     pub(crate) members: Membership,
-    /// Coordinators that others named.
+    /// Coordinators that others reported.
     pub(crate) heard_of: IndexSet<SocketAddr>,
     pub(crate) groups: groups::Groups,
     pub(crate) cases: cases::Cases,
@@ -71,9 +73,9 @@
     pub(crate) ring: Ring,
     usage: Usage,
     role: Role,
-    /// It knew all that was settled when that was last looked at.
+    /// Whether all committed entries were known at the last check.
     pub(crate) current: bool,
-    /// It voted when that was last looked at.
+    /// Whether this coordinator was a voter at the last check.
     pub(crate) voting: Option<bool>,
     calls_made: u64,
 }
@@ -124,8 +126,8 @@
         let empty = loaded.snapshot.is_none() && loaded.entries.is_empty();
         let seeds = inboxes(&conf.seeds, inbox.port());
         if empty && conf.first {
-            // The first voters must outlast a restart, at which the settings no longer
-            // say that the system is new: else a restarted voter would know nobody.
+            // The initial voters must be on disk: after a restart the settings no longer say that
+            // the system is new, and a restarted voter would know no other one.
             let first = first_members(&seeds);
             store.snapshot(&(&first).into(), Vec::new())?;
             loaded.snapshot = Some((&first).into());
@@ -185,7 +187,7 @@
         })
     }
 
-    /// Takes over what is not on disk from the core before it.
+    /// Takes over from the previous core what is not on disk.
     pub(crate) fn inherit(&mut self, before: Core) {
         self.registry = before.registry;
         self.directory = before.directory;
@@ -227,7 +229,7 @@
         }
     }
 
-    /// Events that may wait, for a short time.
+    /// Handles deferrable events for a short time.
     fn take_rest(&mut self, inlet: &Inlet) {
         let until = self.now() + TURN;
         let events = std::iter::from_fn(|| inlet.rest());
@@ -239,9 +241,9 @@
         }
     }
 
-    /// Number of a call to another coordinator. Numbers begin at a random one: an answer
-    /// to a call of an earlier start may arrive late, and would otherwise be taken for
-    /// the answer to a new call, and acknowledge what was never settled.
+    /// Id of a request to another coordinator. Ids start at a random number: a late response to a
+    /// request of an earlier incarnation would otherwise be taken for the response to a new
+    /// request, and acknowledge a document that was never committed.
     pub(crate) fn next_call(&mut self) -> u64 {
         self.calls_made += 1;
         self.net.incarnation().wrapping_add(self.calls_made)
@@ -305,13 +307,13 @@
         }
     }
 
-    /// Stores, then sends, then applies, until nothing is left to do. A message that
-    /// left before the sync could acknowledge what a crash then forgets.
+    /// Writes to disk, then sends, then applies, until nothing is left to do. A message sent before
+    /// the sync could acknowledge what a crash then loses.
     pub(crate) fn flush(&mut self) -> Result<()> {
         let before = self.settled.version;
         self.flush_all()?;
-        // Once, with the newest: after a start the whole log is applied, and gateways would be
-        // told every document of it.
+        // Once, with the newest: after a start the whole log is applied, and gateways would get
+        // every document in it.
         if self.settled.version > before {
             self.push_document();
         }
@@ -338,7 +340,7 @@
     fn send_member(&self, to: &str, message: &Message) {
         let member = self.quorum.members().get(to);
         let known = member.and_then(|m| m.address.parse::<SocketAddr>().ok());
-        // A leader may not be among the members that this replica knows yet.
+        // A leader may be missing from the members that this replica knows.
         let port = self.inbox.port();
         let assumed = to.parse().ok().map(|ip| SocketAddr::new(ip, port));
         if let Some(address) = known.or(assumed) {
@@ -362,14 +364,15 @@
                 self.logged_bytes += bytes.len();
                 match decode(&bytes) {
                     Ok(settled) => self.adopt(settled),
-                    // Every replica passes over it alike.
+                    // Every replica skips it alike.
                     Err(e) => log::error!("entry {}: {e}", entry.index),
                 }
             }
         }
     }
 
-    /// Takes a committed document; an older one than is in force changes nothing.
+    /// Applies a committed document; one that is not newer than the document in force changes
+    /// nothing.
     pub(crate) fn adopt(&mut self, settled: Settled) {
         let older = settled.version <= self.settled.version;
         self.lines.put(
@@ -385,7 +388,7 @@
         self.finish_settling();
     }
 
-    /// Notes whether it knows all that was settled until [`CURRENT`] ago.
+    /// Logs whether everything that was committed until [`CURRENT_WINDOW`] ago is known here.
     fn note_current(&mut self, now: Duration) {
         let current = self.quorum.is_current(now, CURRENT);
         if current == self.current {
@@ -413,14 +416,15 @@
     }
 }
 
-/// A peer that asked over HTTP may be gone by now; that changes nothing here.
+/// Counts a response whose receiver is gone, such as a closed HTTP request; nothing else follows
+/// from it.
 pub(crate) fn answered<T>(sent: std::result::Result<(), T>) {
     if sent.is_err() {
         metrics::counter!("answers_unwanted_total").increment(1);
     }
 }
 
-/// Inboxes of coordinators, from any of their addresses: ports are the same everywhere.
+/// Inboxes of coordinators, from any of their addresses: ports are the same on all of them.
 fn inboxes(seeds: &[SocketAddr], port: u16) -> Vec<SocketAddr> {
     seeds
         .iter()
--- a/crates/coordinator/src/durable.rs
+++ b/crates/coordinator/src/durable.rs
@@ -1,5 +1,5 @@
-//! What the log keeps on disk: entries and votes before they are answered, a snapshot in place of
-//! many documents.
+//! Persistence of the log: entries and votes are synced before they are answered; a snapshot
+//! replaces many documents.
 
 use crate::core::Core;
 use crate::settled::{Settled, decode, encode};
@@ -11,17 +11,17 @@
 use snafu::OptionExt;
 use std::net::SocketAddr;
 
-/// Bytes of documents in the log after which a snapshot replaces it: some times the newest
-/// document, which is all that matters. A follower that lags gets that one in place of
-/// dozens: documents with hundreds of routes have some 30 KB packed, and sending all of them
-/// again and again takes the link and the processor from everything else.
+/// Bytes of documents in the log after which a snapshot replaces it: a multiple of the newest
+/// document, the only one that matters. A follower that lags gets that one instead of dozens:
+/// documents with hundreds of routes have some 30 KB compressed, and sending all of them repeatedly
+/// takes the link and the CPU away from everything else.
 const SNAPSHOT_TIMES: usize = 4;
 const SNAPSHOT_BYTES: usize = 128 << 10;
 /// Entries kept in memory behind a snapshot, for followers that lag a little.
 const KEPT: u64 = 3;
 
 impl Core {
-    /// Writes and syncs what the log gave out: only then may anything be answered that rests on it.
+    /// Writes and syncs the output of the log; nothing that depends on it may be answered before.
     pub(super) fn persist(&mut self, out: &Output) -> Result<()> {
         if let Some(snapshot) = &out.snapshot {
             self.store.snapshot(&snapshot.into(), Vec::new())?;
@@ -42,7 +42,7 @@
         Ok(())
     }
 
-    /// Puts a snapshot in place of the entries once they are large against the newest document.
+    /// Replaces the entries by a snapshot once they are large compared with the newest document.
     pub(super) fn compact(&mut self) -> Result<()> {
         let most = SNAPSHOT_BYTES + SNAPSHOT_TIMES * self.settled.document.len();
         if self.logged_bytes < most {
--- a/crates/coordinator/src/groups.rs
+++ b/crates/coordinator/src/groups.rs
@@ -1,5 +1,5 @@
-//! Balancing of lock-step groups, by the leader alone: carries the calls of each group's
-//! [`SwitchController`] to the engines and their replies back.
+//! Balancing of lock-step groups, by the leader only: sends the calls of each group's
+//! [`SwitchController`] to the engines and returns their replies.
 
 use crate::asks::Written;
 use crate::core::Core;
@@ -13,32 +13,32 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// Numbers of calls that ask for groups begin here, far from those of pilots.
+/// First call id of group discovery, far above those of switch controllers.
 const MUSTER_CALLS: u64 = 1 << 62;
-/// Such calls of one term at most.
+/// Most discovery calls per term.
 const PER_TERM: u64 = 1 << 20;
 
-/// What the leader keeps of groups.
+/// The leader's state of all groups.
 #[derive(Default)]
 pub(crate) struct Groups {
     term: u64,
-    /// Version of the document that `shapes` is of.
+    /// Version of the document that `shapes` comes from.
     version: u64,
     /// Services whose engines share experts.
     shapes: IndexMap<String, Shape>,
-    /// Who forms which group, by service.
+    /// Discovery of the groups, by service.
     musters: IndexMap<String, GroupDiscovery>,
     pub(crate) pilots: IndexMap<GroupId, SwitchController>,
-    /// Change of the registrations that musters know.
+    /// Cursor of the registrations at the last discovery.
     mark: u64,
-    /// The most that pilots of this term have used.
+    /// Highest numbers that the switch controllers of this term have used.
     used: UsedNumbers,
     pub(crate) written: Written,
 }
 
 impl Core {
-    /// Moves every group on. A coordinator that does not lead steers nothing: what it
-    /// left under way, the next leader fences, finds and settles.
+    /// Advances every group. A coordinator that is not the leader does nothing: the next leader
+    /// fences, discovers and completes what is under way.
     pub(crate) fn steer_groups(&mut self, now: Duration) {
         if self.quorum.role() != Role::Leader {
             self.groups.pilots.clear();
@@ -61,7 +61,7 @@
         self.groups.mark = self.registry.cursor();
     }
 
-    /// Has engines asked that have not told their group, or may have left it.
+    /// Queries engines whose group is unknown, or that may have left it.
     fn muster(&mut self, now: Duration, service: &str) {
         let mark = self.registry.cursor();
         let known = self.groups.musters.get(service);
@@ -86,13 +86,14 @@
         }
     }
 
-    /// Moves the pilots of a service on, and makes those of groups that are new.
+    /// Advances the switch controllers of a service, and creates those of new groups.
     fn steer_service(&mut self, now: Duration, service: &str, shape: Shape) {
         let Some(muster) = self.groups.musters.get(service) else {
             return;
         };
         let mut names = muster.complete_groups().to_vec();
-        // One that lacks a rank may be held by its pilot, which must be able to end that.
+        // An incomplete group may be held by its switch controller, which must be able to release
+        // it.
         let steered = self.groups.pilots.keys().filter(|g| g.service == service);
         names.extend(steered.map(|g| g.name.clone()));
         names.sort_unstable();
@@ -166,8 +167,8 @@
         self.carry(now, group, calls);
     }
 
-    /// An engine told its group: gateways are told, too, since the ranks of a group share
-    /// their pace.
+    /// An engine reported its group: gateways get it as well, because the ranks of a group share
+    /// their slowdown.
     fn on_mustered(&mut self, now: Duration, service: &str, call: u64, reply: Reply) {
         let Some(muster) = self.groups.musters.get_mut(service) else {
             return;
@@ -199,7 +200,7 @@
         };
         match bn_platform::plan(&document) {
             Ok(plan) => self.groups.shapes = shapes(&plan),
-            // It was checked before it was settled, so this is a fault of ours.
+            // The document was validated before it was proposed, so this is a bug.
             Err(e) => log::error!("document {} does not hold: {e}", self.settled.version),
         }
     }
--- a/crates/coordinator/src/http.rs
+++ b/crates/coordinator/src/http.rs
@@ -1,4 +1,4 @@
-//! The coordinator's HTTP side: translates calls, hands them to the core, waits.
+//! HTTP server of the coordinator: parses calls, passes them to the core and waits for its answer.
 
 use crate::ring::{Event, Ring};
 use bn_directory::ANSWER_TTL;
@@ -11,7 +11,7 @@
 use std::net::TcpListener;
 use tokio::sync::oneshot;
 
-/// Largest body taken: an operator's document has some hundred KB.
+/// Largest accepted body: an operator's document has some hundred KB.
 const LARGEST_BODY: usize = 8 << 20;
 const JSON: &str = "application/json";
 
@@ -84,7 +84,7 @@
     }
 }
 
-/// What is invalid is refused whatever its version; only then versions are compared.
+/// An invalid document is refused whatever its version; versions are compared only afterwards.
 async fn settle(ring: &Ring, document: Vec<u8>) -> Response<Body> {
     let plan = match bn_platform::plan(&document) {
         Ok(plan) => Box::new(plan),
@@ -104,7 +104,7 @@
     }
 }
 
-/// Asks the core; `None` where it is overloaded or gone.
+/// Sends an event to the core and waits for the answer; `None` if the core is overloaded or gone.
 async fn ask<T>(ring: &Ring, event: impl FnOnce(oneshot::Sender<T>) -> Event) -> Option<T> {
     let (done, answer) = oneshot::channel();
     if !ring.put(event(done)) {
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,7 +1,8 @@
-//! The coordinator process: settles documents in a replicated log, keeps registrations of
-//! backend servers, and tells callers which gateways there are.
+//! The coordinator process: commits documents in a replicated log, keeps registrations of backend
+//! servers, and resolves the addresses of gateways for callers.
 //!
-//! One thread owns all state (`core`); HTTP and the inbox reach it over two bounded rings.
+//! One thread owns all state (`core`); HTTP and the inbox send events to it over two bounded
+//! queues.
 
 mod announcements;
 mod asks;
@@ -33,40 +34,40 @@
 
 use snafu::Snafu;
 
-/// Why a coordinator could not start, or had to end.
+/// Why a coordinator could not start, or stopped.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
     /// The inbox could not be opened.
     #[snafu(display("{source}"), context(false))]
     Net {
-        /// What the links said.
+        /// Error of the links.
         source: bn_net::Error,
     },
     /// A socket could not be opened.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// Where.
+        /// Address of the socket.
         address: std::net::SocketAddr,
-        /// What the system said.
+        /// Error of the system.
         source: std::io::Error,
     },
-    /// The thread for calls could not be made.
+    /// The thread for outgoing calls could not be started.
     #[snafu(display("thread for calls: {source}"))]
     Calls {
-        /// What the system said.
+        /// Error of the system.
         source: std::io::Error,
     },
-    /// The data folder cannot be used, or a write failed.
+    /// The data directory cannot be used, or a write failed.
     #[snafu(display("{source}"), context(false))]
     Store {
-        /// What it said.
+        /// Error of the store.
         source: bn_store::Error,
     },
-    /// What the data folder holds does not decode.
+    /// Content of the data directory cannot be decoded.
     #[snafu(display("undecodable {what}"))]
     Decode {
-        /// What it was.
+        /// What could not be decoded.
         what: &'static str,
     },
 }
--- a/crates/coordinator/src/members.rs
+++ b/crates/coordinator/src/members.rs
@@ -1,4 +1,4 @@
-//! Members of the log, as far as coordinators do something about them.
+//! Members of the log: join requests, changes of voters, and the list of known coordinators.
 
 use crate::core::Core;
 use bn_quorum::{Change, ChangeReason, JoinRequest};
@@ -9,7 +9,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Coordinators that others named are remembered, the latest so many: at most 15 are set aside.
+/// Number of coordinators reported by others that are remembered, the latest ones: at most 15 are
+/// set aside.
 const MOST_HEARD_OF: usize = 32;
 
 impl Core {
@@ -37,8 +38,8 @@
         }
     }
 
-    /// Another coordinator says which ones there are. One with an empty disk knows only three from its
-    /// settings, and these may all be away.
+    /// Records the coordinators that another one reports. A coordinator with an empty disk knows
+    /// only three from its settings, and all of these may be absent.
     pub(crate) fn note_coordinators(&mut self, named: &[String]) {
         for inbox in named.iter().filter_map(|a| a.parse().ok()) {
             if self.heard_of.insert(inbox) && self.heard_of.len() > MOST_HEARD_OF {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Asks to be a member where it hears no leader; as the leader, changes who votes.
+    /// Sends join requests if no leader is known; as the leader, changes the voters.
     pub(crate) fn keep_members(&mut self, now: Duration) {
         let turn = self.members.tick(now, &mut self.quorum);
         if let Some(change) = turn.change {
@@ -68,8 +69,8 @@
         }
     }
 
-    /// A log that fewer keep than there are coordinators bears fewer losses: operators see who does
-    /// not vote.
+    /// A log with fewer voters than coordinators tolerates fewer losses: operators are shown which
+    /// ones do not vote.
     fn note_voting(&mut self) {
         let members = self.quorum.members();
         let me = members.get(self.quorum.id());
@@ -84,7 +85,7 @@
             .put("voting", json!({ "votes": votes, "voters": voters }));
     }
 
-    /// Who keeps the log, as this coordinator knows it, and whether that is what was settled.
+    /// The members of the log as this coordinator knows them, and whether that is current.
     pub(crate) fn show_members(&self) -> String {
         let members = self.quorum.members().iter();
         let named = members.map(|(id, m)| json!({ "id": id, "votes": m.voter }));
--- a/crates/coordinator/src/news.rs
+++ b/crates/coordinator/src/news.rs
@@ -1,9 +1,8 @@
-//! Telling gateways and other coordinators what is new, and hearing it from the latter.
+//! Updates for gateways and other coordinators, and updates received from the latter.
 //!
-//! News is pushed at a change and asked for again and again, so that a lost push costs
-//! half a second at most. A link may go silent without a reset, in one direction alone;
-//! then asks stay unanswered, the asker opens its link anew and says so in its next ask,
-//! and the other side opens its own anew.
+//! An update is pushed at a change and also polled for, so that a lost push costs half a second at
+//! most. A link may go silent without a reset, in one direction only: polls then stay unanswered,
+//! the poller reopens its link and says so in its next poll, and the other side reopens its own.
 
 use crate::announcements::Source;
 use crate::core::Core;
@@ -16,18 +15,18 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-/// Between two asks of one peer. Pushes carry what is urgent.
+/// Interval between two polls of one peer. Pushes carry urgent changes.
 const ASK_GAP: Duration = Duration::from_millis(500);
-/// A gateway that is still behind after this is told by any coordinator: below its gap between
-/// two asks of the same one, so that the second is answered with the document, and below the two
-/// seconds within which a document must be in force.
+/// A gateway that is still behind after this time gets the document from any coordinator: below its
+/// interval between two polls of the same coordinator, so that the second poll is answered with the
+/// document, and below the two seconds within which a document must be in force.
 const HELP_AFTER: Duration = Duration::from_millis(600);
-/// Time for which what every piece of news says is not worked out anew.
+/// Time for which the common part of all updates is cached.
 const STANDING: Duration = Duration::from_millis(200);
-/// Asks without an answer after which the link is taken for dead: 1.5 s.
+/// Unanswered polls after which the link is considered dead: 1.5 s.
 const SILENT_ASKS: u32 = 3;
 
-/// Another coordinator, as far as news goes.
+/// Progress of the updates from another coordinator.
 #[derive(Debug, Clone, Default)]
 struct Peer {
     source: u64,
@@ -36,15 +35,14 @@
     unanswered: u32,
 }
 
-/// Which gateways are behind, at which version and since when.
+/// Gateways that are behind: their version, and since when they have been behind.
 #[derive(Debug, Clone, Default)]
 pub struct Lag(IndexMap<SocketAddr, (u64, Duration)>);
 
 impl Lag {
-    /// Whether a gateway has been at this version for so long that any coordinator should
-    /// help it. It counts from when the gateway fell behind: while documents come in
-    /// quick succession, each of them is new, and help would never be due. One that knows
-    /// none at all is helped at once.
+    /// Whether a gateway has been behind for so long that any coordinator should send it the
+    /// document. The time counts from when the gateway fell behind: documents in quick succession
+    /// are each new, and help would never be due. A gateway without any document gets it at once.
     pub fn late(&mut self, now: Duration, gateway: SocketAddr, version: u64) -> bool {
         let (known, since) = self.0.entry(gateway).or_insert((version, now));
         if *known != version {
@@ -53,7 +51,7 @@
         version == 0 || now >= *since + HELP_AFTER
     }
 
-    /// A gateway is not behind, or gone.
+    /// Removes a gateway that is up to date or gone.
     pub fn clear(&mut self, gateway: SocketAddr) {
         self.0.swap_remove(&gateway);
     }
@@ -65,15 +63,15 @@
     rows: IndexMap<SocketAddr, Peer>,
     lag: Lag,
     due: Duration,
-    /// Coordinators and number of gateways, as all news say them until then.
+    /// Common part of all updates, valid until `common_due`: coordinators and number of gateways.
     standing: wire::News,
-    /// Gateways that callers are sent to, the same way.
+    /// Gateways that callers are sent to, valid as long.
     named: GatewaySelection,
     standing_due: Duration,
 }
 
 impl Core {
-    /// Inboxes of all other coordinators that this one knows of.
+    /// Inboxes of all other coordinators that are known here.
     pub(crate) fn others(&self) -> Vec<SocketAddr> {
         let members = self.quorum.members().values();
         let known = members.filter_map(|m| m.address.parse().ok());
@@ -84,8 +82,8 @@
         all
     }
 
-    /// Tells the document in force to the gateways that are this coordinator's to tell. One that has
-    /// just started serves from then on, so it has to know which requests it must not send.
+    /// Pushes the document in force to the gateways assigned to this coordinator. A gateway that
+    /// has just started serves from then on, so it also gets the requests that it must not send.
     pub(crate) fn push_document(&mut self) {
         let news = wire::News {
             document: self.settled.document.clone(),
@@ -95,16 +93,16 @@
         self.push_to_own(&news);
     }
 
-    /// Tells something to the gateways that are this coordinator's to tell.
+    /// Pushes an update to the gateways assigned to this coordinator.
     pub(crate) fn push_to_own(&self, news: &wire::News) {
         for inbox in self.directory.inboxes().filter(|g| self.tells(*g)) {
             self.net.send(inbox, Body::News(news.clone()));
         }
     }
 
-    /// Each gateway is told by one coordinator: all of them at once would send every
-    /// document as often as there are coordinators. The others help out where a gateway
-    /// still asks with an older version some time later.
+    /// Each gateway is assigned to one coordinator: otherwise every document would be sent as often
+    /// as there are coordinators. The others step in if a gateway still polls with an older version
+    /// some time later.
     fn tells(&self, gateway: SocketAddr) -> bool {
         let mut all = self.others();
         all.push(self.inbox);
@@ -116,8 +114,8 @@
         all.get(turn) == Some(&self.inbox)
     }
 
-    /// What every piece of news says. Who there is changes seldom, and some hundred asks a second
-    /// are answered with it.
+    /// Builds the common part of all updates. It is cached: coordinators and gateways change
+    /// seldom, and some hundred polls a second are answered with it.
     pub(crate) fn plain_news(&mut self) -> wire::News {
         let now = self.now();
         if now >= self.peers.standing_due {
@@ -166,7 +164,7 @@
         if !behind {
             self.peers.lag.clear(inbox);
         }
-        // One that holds none takes only what is known to be the newest.
+        // A gateway without a document only accepts one that is known to be the newest.
         let takes = ask.version > 0 || self.current;
         let document = match behind && takes && (late || self.tells(inbox)) {
             true => self.settled.document.clone(),
@@ -199,7 +197,7 @@
         self.net.send(inbox, Body::News(news));
     }
 
-    /// Registrations from another coordinator; documents come by the log alone.
+    /// Merges registrations from another coordinator; documents arrive through the log only.
     pub(crate) fn on_news(
         &mut self,
         now: Duration,
@@ -210,10 +208,10 @@
         self.note_coordinators(&news.coordinators);
         let peer = self.peers.rows.entry(inbox).or_default();
         peer.unanswered = 0;
-        // A push has no mark: it says nothing of how far registrations are known.
+        // A push has no cursor: it does not say up to where registrations are known.
         if news.mark > 0 {
             if peer.source != incarnation {
-                // Another start counts its changes anew.
+                // Another incarnation counts its changes anew.
                 peer.cases = 0;
             }
             peer.source = incarnation;
@@ -231,15 +229,15 @@
             let id = record.id.clone();
             let gone = record.condition == Condition::Gone;
             let change = self.registry.merge(now, record);
-            // Departures go on at once: the coordinator that was told of it may be cut
-            // off from gateways that this one reaches.
+            // Departures are passed on at once: the coordinator that received it may be cut off
+            // from gateways that this one reaches.
             if gone {
                 self.spread(&id, change, Source::Coordinator);
             }
         }
     }
 
-    /// Asks every other coordinator for news, and drops what is too old.
+    /// Polls every other coordinator for updates, and evicts expired gateways and registrations.
     pub(crate) fn ask_peers(&mut self, now: Duration) {
         if now < self.peers.due {
             return;
--- a/crates/coordinator/src/pages.rs
+++ b/crates/coordinator/src/pages.rs
@@ -1,18 +1,20 @@
-//! Pages of a coordinator for operators, beside its metrics.
+//! Operator pages of a coordinator, next to its metrics.
 
 use crate::ring::{Event, Ring};
 use bn_quarantine::from_text;
 use tokio::sync::oneshot;
 
-/// Page of the requests under which backend servers ended; `DELETE` of one below it closes its case.
+/// Page of the requests under which backend servers terminated; `DELETE` of an entry below it
+/// closes its case.
 pub const QUARANTINE: &str = "/v1/quarantine";
-/// Page of the coordinators that keep the log.
+/// Page of the members of the log.
 pub const MEMBERS: &str = "/v1/members";
 
-/// Page of the backend servers that name a limit.
+/// Page of the backend servers that set a limit.
 pub const LIMITS: &str = "/v1/limits";
 
-/// Answers the coordinator's own pages: status and JSON text. Waits for the coordinator's thread.
+/// Answers the coordinator's own pages with status and JSON text. Blocks until the coordinator's
+/// thread answers.
 pub fn pages(ring: Ring) -> impl Fn(&str, &str, &[u8]) -> Option<(u16, String)> {
     move |method, path, _| {
         if (method, path) == ("GET", MEMBERS) {
--- a/crates/coordinator/src/reads.rs
+++ b/crates/coordinator/src/reads.rs
@@ -1,8 +1,8 @@
-//! Reading the document in force: answered only where it is surely the newest.
+//! Reads of the document in force: answered only if it is certainly the newest.
 //!
-//! The leader confirms by a round of the log that it still leads; others ask it for the
-//! newest version and answer once they hold that. No lease is trusted for this: a
-//! suspended process finds its lease unexpired by a clock that stood still.
+//! The leader confirms by a round of the log that it is still the leader; other coordinators ask it
+//! for the newest version and answer once they have that. No lease is trusted for this: a suspended
+//! process finds its lease unexpired by a clock that was stopped.
 
 use crate::core::{Core, answered};
 use bn_wire::messages::envelope::Body;
@@ -11,9 +11,9 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// How long a read waits; operators turn elsewhere after a second.
+/// How long a read waits; operators try another coordinator after a second.
 const PATIENCE: Duration = Duration::from_millis(800);
-/// Between two asks to the leader.
+/// Interval between two requests to the leader.
 const ASK_GAP: Duration = Duration::from_millis(250);
 
 enum Asker {
@@ -21,14 +21,14 @@
     Peer(SocketAddr, u64),
 }
 
-/// How far a read has come.
+/// Progress of a read.
 #[derive(Clone, Copy, PartialEq)]
 enum Stage {
-    /// Nothing under way, or lost with a change of leader.
+    /// Not started, or reset by a change of leader.
     Idle,
-    /// This leader's round, in its term, must be reached.
+    /// Waits until this leader's round is confirmed; term and round.
     Round(u64, u64),
-    /// The newest version is known; it may have to arrive here first.
+    /// The newest version is known; it may still have to arrive here.
     Version(u64),
 }
 
@@ -40,7 +40,7 @@
     next: Duration,
 }
 
-/// Reads that wait.
+/// Pending reads.
 #[derive(Default)]
 pub(crate) struct Reads {
     list: Vec<Read>,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Moves every read on, and answers those that are sure or late.
+    /// Advances every read, and answers those that are confirmed or timed out.
     pub(crate) fn answer_reads(&mut self, now: Duration) {
         let mut list = std::mem::take(&mut self.reads.list);
         for read in &mut list {
--- a/crates/coordinator/src/relays.rs
+++ b/crates/coordinator/src/relays.rs
@@ -1,13 +1,13 @@
-//! Asking engines through the relays beside them, where reports are fresh and counts and
-//! orders are free; straight over HTTP where a relay does not answer.
+//! Requests to engines through the relays next to them, where reports are fresh and counts and
+//! orders cost nothing; directly over HTTP if a relay does not answer.
 //!
-//! Few messages for many ranks: what is asked of a group at once goes to some relays, which
-//! pass it on to the others and collect the answers. A leader with a twentieth of a core that asked
-//! each rank itself would take a second for each switch of a large group.
+//! Few messages for many ranks: simultaneous requests to a group are sent to some of its relays,
+//! which forward them to the others and collect the responses. A leader with 5 % of a core that
+//! queried each rank itself would take a second for each switch of a large group.
 //!
-//! A relay has its engine's IP number and the port that all inboxes have. That one is
-//! dead, or cut off, shows by an ask without an answer: then its engine is called straight
-//! for a while.
+//! A relay has its engine's IP address and the port that all inboxes have. A relay that is dead or
+//! cut off is detected by a request without a response: its engine is then called directly for a
+//! while.
 
 use bn_group::switch_controller::{EngineReport, Reply};
 use bn_wire::messages::{EngineAnswer, EngineView};
@@ -15,39 +15,41 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-/// A relay that passes asks on gives up on the others after 150 ms; the rest is for a leader
-/// that is busy: one that takes relays for dead too soon calls their engines itself, and is busier
-/// still. What is asked of relays keeps no group waiting.
+/// A relay that forwards requests gives up on the others after 150 ms; the rest is for a busy
+/// leader: one that considers relays dead too early calls their engines itself, and gets busier
+/// still. Requests to relays keep no group waiting.
 const TIMEOUT: Duration = Duration::from_millis(600);
-/// The same for orders around a hold: a group may stand still until the next try, and the relay
-/// that passes them on has given up on the others by then.
+/// Timeout of orders around a hold: the group may be stalled until the next attempt, and a relay
+/// that forwards them has given up on the others by then.
 const HELD_TIMEOUT: Duration = Duration::from_millis(250);
-/// The same where they wait for copies: 400 ms more.
+/// Timeout of polls that wait for copies: 400 ms more.
 const COPY_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Up to so many asks at once need nobody to pass them on.
+/// Up to this many simultaneous requests are not forwarded.
 const FEW: usize = 3;
-/// Bytes that a relay passes on at once: 20 ms on the slowest links (6 Mbit/s).
+/// Bytes that a relay forwards at once: 20 ms on the slowest links (6 Mbit/s).
 const PASSED_ON: usize = 16 << 10;
-/// Ranks of a group that are counted, about: at 500 requests a second some 10,000 tokens a look.
+/// Approximate number of ranks of a group that report counts: at 500 requests a second some 10,000
+/// tokens per poll.
 const COUNTED: usize = 48;
-/// A relay that did not answer once is passed over for so long, and for twice as long each further
-/// time in a row. One that is dead or cut off is found out soon enough. Where many are silent at once
-/// it is rather the asker that was held up or whose links are new: a new leader that passed all of them
-/// over would call every engine itself, and a group that was left held would stand meanwhile.
+/// First time for which a relay that did not answer is skipped; it doubles with each further
+/// failure in a row. One that is dead or cut off is still detected soon enough. If many are silent
+/// at once, the leader itself was probably delayed or its links are new: a new leader that skipped
+/// all of them would call every engine itself, and a group that is still held would be stalled
+/// meanwhile.
 const FIRST_PASS: Duration = Duration::from_millis(600);
-/// A relay is passed over for so long at most: a restart takes a second or two, a cut some more.
+/// Longest time for which a relay is skipped: a restart takes a second or two, a cut somewhat more.
 const LONGEST_PASS: Duration = Duration::from_secs(4);
 
-/// A relay that answered by its own link within this time has one that stands, as far as can be
-/// known: groups are looked at every 0.15 s, and heads are the same ones.
+/// A relay that responded over its own link within this time is connected, as far as can be known:
+/// groups are polled every 0.15 s, and through the same relays each time.
 const STANDING: Duration = Duration::from_secs(2);
 
-/// What an ask is about.
+/// Kind of a request to a relay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum About {
-    /// A look at the engine.
+    /// A poll of the engine.
     Look,
-    /// A look once copies are complete.
+    /// A poll that is answered once copies are complete.
     Copies,
     /// An order.
     Order,
@@ -55,42 +57,41 @@
     Held,
 }
 
-/// A lock-step group of a service; without a name, what asks all engines of the service for
-/// their groups.
+/// A lock-step group of a service; with an empty name, group discovery of the service's engines.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct GroupId {
     /// Its service.
     pub service: String,
-    /// Its name there.
+    /// Its name within the service.
     pub name: String,
 }
 
-/// An ask under way.
+/// A request without a response so far.
 #[derive(Debug, Clone)]
 pub struct Ask {
-    /// Whose call it is.
+    /// Group that the call belongs to.
     pub group: GroupId,
-    /// Number of the call.
+    /// Id of the call.
     pub call: u64,
-    /// Inbox of the relay beside the engine.
+    /// Inbox of the relay next to the engine.
     pub relay: SocketAddr,
-    /// Inbox of the relay that was asked to pass it on, or the same.
+    /// Inbox of the relay that was asked to forward it, or the same.
     pub head: SocketAddr,
-    /// What it is about.
+    /// Its kind.
     pub about: About,
     due: Duration,
 }
 
-/// Asks to relays, and which of them are passed over.
+/// Pending requests to relays, and the relays that are skipped.
 #[derive(Debug, Default)]
 pub struct Relays {
     asks: IndexMap<u64, Ask>,
     silent: IndexMap<IpAddr, Silence>,
-    /// When relays that were asked themselves answered last.
+    /// Last response of relays that were asked directly.
     heads: IndexMap<SocketAddr, Duration>,
 }
 
-/// How long a relay is passed over, and until when.
+/// How long a relay is skipped, and until when.
 #[derive(Debug, Clone, Copy)]
 struct Silence {
     time: Duration,
@@ -98,15 +99,15 @@
 }
 
 impl Relays {
-    /// The relay beside an engine, unless it was silent of late.
+    /// The relay next to an engine, unless it is being skipped.
     pub fn beside(&self, now: Duration, engine: SocketAddr, port: u16) -> Option<SocketAddr> {
         let silence = self.silent.get(&engine.ip());
         let passed_over = silence.is_some_and(|s| now < s.until);
         (!passed_over).then(|| SocketAddr::new(engine.ip(), port))
     }
 
-    /// An ask with this number is on its way to a relay, by way of
-    /// `head`; `call` is that of a group's pilot.
+    /// Records a request with this id that was sent to a relay by way of `forwarder`; `call` is the
+    /// id within the group's switch controller.
     pub fn asked(
         &mut self,
         now: Duration,
@@ -131,14 +132,14 @@
         self.asks.insert(number, ask);
     }
 
-    /// Whose ask an answer is to.
+    /// The pending request that a response belongs to.
     pub fn answered(&mut self, now: Duration, number: u64) -> Option<Ask> {
         let ask = self.asks.swap_remove(&number)?;
         self.heads.insert(ask.head, now);
         Some(ask)
     }
 
-    /// A relay whose link stands, other than that one: it can pass an ask on to that one.
+    /// A connected relay other than `relay`, which can forward a request to it.
     pub fn standing(&self, now: Duration, relay: SocketAddr) -> Option<SocketAddr> {
         let silent = |a: &SocketAddr| self.silent.get(&a.ip()).is_some_and(|s| now < s.until);
         let heard = self.heads.iter();
@@ -146,7 +147,7 @@
         heard.max_by_key(|(_, at)| **at).map(|(a, _)| *a)
     }
 
-    /// A relay did not answer. Asks that were out together count once.
+    /// Records that a relay did not answer. Simultaneous requests count once.
     pub fn pass_over(&mut self, now: Duration, relay: SocketAddr) {
         let before = self.silent.get(&relay.ip());
         if before.is_some_and(|s| now < s.until) {
@@ -157,12 +158,12 @@
         self.silent.insert(relay.ip(), Silence { time, until });
     }
 
-    /// A relay answered.
+    /// Records that a relay answered.
     pub fn heard(&mut self, relay: SocketAddr) {
         self.silent.swap_remove(&relay.ip());
     }
 
-    /// Takes out what is overdue; its relays are passed over from now on.
+    /// Removes overdue requests; their relays are skipped from now on.
     pub fn overdue(&mut self, now: Duration) -> Vec<Ask> {
         let due: Vec<u64> = self
             .asks
@@ -177,16 +178,16 @@
         for ask in &asks {
             self.pass_over(now, ask.head);
         }
-        // Remembered for some time after it is asked again, to tell the next silence from a first one.
+        // Kept for some time after the next attempt, to tell a repeated failure from a first one.
         self.silent.retain(|_, s| now < s.until + LONGEST_PASS);
         self.heads.retain(|_, at| now < *at + STANDING);
         asks
     }
 }
 
-/// How many of `count` asks one relay gets, where each is passed on with `bytes`: about as many
-/// relays are asked as each asks others, which makes for the fewest messages at the busiest; but
-/// no more than its link takes in a moment.
+/// How many of `count` requests are sent to one relay, if it forwards `bytes` with each: about as
+/// many relays get a batch as each forwards to, which gives the fewest messages at the busiest
+/// process; but no more than its link carries in a moment.
 pub fn part(count: usize, bytes: usize) -> usize {
     let fewest = match count {
         0..=FEW => 1,
@@ -196,9 +197,9 @@
     fewest.min(1 + others)
 }
 
-/// Asks in parts of at most `part`, each part of one failure domain, and those of a domain about equal: what
-/// relays pass on and collect then stays within their domain, where links are short and are cut off
-/// together.
+/// Splits requests into batches of at most `size`, each within one failure domain and of about
+/// equal size within it: what relays forward and collect then stays within their domain, where
+/// links are short and are cut off together.
 pub fn parts<T>(asks: Vec<T>, part: usize, domain: impl Fn(&T) -> &str) -> Vec<Vec<T>> {
     let mut near: IndexMap<String, Vec<T>> = IndexMap::new();
     for ask in asks {
@@ -210,7 +211,7 @@
         .collect()
 }
 
-/// Parts of about equal size, of at most `part`.
+/// Splits into batches of about equal size, of at most `most`.
 fn split<T>(asks: Vec<T>, part: usize) -> Vec<Vec<T>> {
     let count = asks.len().div_ceil(part.max(1)).max(1);
     let size = asks.len().div_ceil(count);
@@ -219,14 +220,14 @@
     parts.filter(|p| !p.is_empty()).collect()
 }
 
-/// Whether the look at one of `count` engines takes counts, too. Requests are spread over ranks
-/// whatever they are about, so that some tell what all choose; counts of 3,840 experts are 4 KB, and
-/// take the links of those that collect them from 13 others 70 ms a look, by their size.
+/// Whether the poll of one of `count` engines includes counts. Requests are spread over the ranks
+/// regardless of content, so that a sample represents all; counts of 3,840 experts have 4 KB, and
+/// sending those of 13 others to the relay that collects them takes its link 70 ms per poll.
 pub fn is_counted(at: usize, count: usize) -> bool {
     at.is_multiple_of(count.div_ceil(COUNTED).max(1))
 }
 
-/// What an answer says to the pilot; `lately` are counts that came beside it.
+/// Reply to the switch controller for a response; `counts` came with it.
 pub(crate) fn read(about: About, answer: EngineAnswer, lately: Option<Vec<u64>>) -> Reply {
     let silent = answer.status == 0;
     match (about, answer.view) {
--- a/crates/coordinator/src/ring.rs
+++ b/crates/coordinator/src/ring.rs
@@ -1,10 +1,10 @@
-//! The way into the coordinator's thread: what consensus and held groups wait for goes before
-//! the rest.
+//! Queues into the coordinator's thread: events that consensus and held groups wait for are handled
+//! first.
 //!
-//! On one ring a flood of announcements and asks for news stands before heartbeats. After a common
-//! start of some hundred processes a thousand events wait, at a millisecond and more each on a
-//! twentieth of a core, and leaders are deposed one after the other. So there are two rings, and of
-//! the second no more is taken at once than a heartbeat may be late.
+//! In a single queue, a flood of announcements and polls delays heartbeats. After a common start of
+//! some hundred processes a thousand events are queued, each taking a millisecond or more on 5 % of
+//! a core, and one leader after the other is deposed. So there are two queues, and the second one
+//! is only processed for as long as a heartbeat may be late.
 
 use bn_group::switch_controller::Reply;
 use bn_settle::Document;
@@ -19,44 +19,44 @@
 
 use crate::relays::GroupId;
 
-/// Events of the first kind that wait: answers of all engines of some groups at once.
+/// Capacity of the urgent queue: responses of all engines of some groups at once.
 const FIRST: usize = 8192;
-/// Events of the second kind that wait. What does not fit is asked again by its sender, at another
-/// coordinator where that has more time; a longer line would only make each answer too late.
+/// Capacity of the deferrable queue. Senders of events that do not fit retry, at another
+/// coordinator that is less busy; a longer queue would only make each answer too late.
 const REST: usize = 1024;
 
-/// What the thread is told.
+/// Event for the coordinator's thread.
 pub enum Event {
     /// A message of another process.
     Message(Box<Envelope>),
-    /// A backend server announced itself; answered with whether it is one of ours.
+    /// A backend server announces itself; answered with whether it was accepted.
     Announce(bn_registry::Record, oneshot::Sender<bool>),
-    /// A backend server left.
+    /// A backend server leaves.
     Leave(String, oneshot::Sender<()>),
-    /// An operator's checked document.
+    /// An operator's validated document.
     Settle(Box<Document>, Vec<u8>, oneshot::Sender<bool>),
-    /// An operator reads the document in force; answered with none where unsure.
+    /// An operator reads the document in force; answered with `None` if that is uncertain.
     Read(oneshot::Sender<Option<Vec<u8>>>),
-    /// An operator asks which requests are refused; answered as JSON.
+    /// An operator requests the refused requests; answered as JSON.
     Cases(oneshot::Sender<String>),
-    /// An operator asks who keeps the log; answered as JSON.
+    /// An operator requests the members of the log; answered as JSON.
     Members(oneshot::Sender<String>),
-    /// An operator asks which backend servers name a limit; answered as JSON.
+    /// An operator requests the backend servers that set a limit; answered as JSON.
     Limits(oneshot::Sender<String>),
-    /// An operator vouches for a request; answered with whether anything was held against it.
+    /// An operator declares a request harmless; answered with whether there was a case against it.
     Pardon(bn_quarantine::Digest, oneshot::Sender<bool>),
-    /// A caller in that failure domain asks for addresses.
+    /// A caller in that failure domain requests gateway addresses.
     Resolve(String, oneshot::Sender<Vec<SocketAddr>>),
-    /// An engine replied to a call about its group, or did not.
+    /// Reply to a call to an engine about its group, or a failure.
     Called(GroupId, u64, Reply),
-    /// The settings name other seeds.
+    /// The settings have other seeds.
     Seeds(Vec<SocketAddr>),
-    /// Begin a graceful stop.
+    /// Starts a graceful stop.
     Stop,
 }
 
 impl Event {
-    /// It may wait: its sender asks again, or turns elsewhere.
+    /// Whether the event may wait: its sender retries, or tries another coordinator.
     fn may_wait(&self) -> bool {
         match self {
             Event::Announce(..) | Event::Leave(..) | Event::Resolve(..) => true,
@@ -69,22 +69,22 @@
     }
 }
 
-/// The sending end. Cheap to clone.
+/// Sending end. Cheap to clone.
 #[derive(Clone)]
 pub struct Ring {
     first: Sender<Event>,
     rest: Sender<Event>,
 }
 
-/// The thread's end.
+/// Receiving end, of the coordinator's thread.
 pub struct Inlet {
     first: Receiver<Event>,
     rest: Receiver<Event>,
-    /// Most events that waited on each.
+    /// Most events queued in each.
     longest: Cell<(usize, usize)>,
 }
 
-/// Both ends.
+/// Creates both ends.
 pub fn ring() -> (Ring, Inlet) {
     let (first, first_out) = bounded(FIRST);
     let (rest, rest_out) = bounded(REST);
@@ -97,7 +97,7 @@
 }
 
 impl Ring {
-    /// Hands an event over; `false`, and counted, where there is no room or nobody takes it.
+    /// Queues an event; `false`, and counted, if the queue is full or closed.
     pub fn put(&self, event: Event) -> bool {
         let way = match event.may_wait() {
             true => &self.rest,
@@ -112,29 +112,29 @@
 }
 
 impl Inlet {
-    /// Waits until there is an event, `most` long.
+    /// Waits for an event, for at most `most`.
     pub(crate) fn wait(&self, most: Duration) {
         let mut either = Select::new();
         either.recv(&self.first);
         either.recv(&self.rest);
-        // Either way the caller looks at both.
+        // In either case the caller checks both queues.
         let _ = either.ready_timeout(most);
         let (first, rest) = self.longest.get();
         let longest = (first.max(self.first.len()), rest.max(self.rest.len()));
         self.longest.set(longest);
     }
 
-    /// The next event that must not wait.
+    /// The next urgent event.
     pub fn first(&self) -> Option<Event> {
         self.first.try_recv().ok()
     }
 
-    /// The next event of the rest.
+    /// The next deferrable event.
     pub fn rest(&self) -> Option<Event> {
         self.rest.try_recv().ok()
     }
 
-    /// How much waits, and how much did at the most since this was asked last.
+    /// Current queue lengths, and the greatest since the last call.
     pub(crate) fn waiting(&self) -> Value {
         let longest = self.longest.take();
         json!({
@@ -143,7 +143,7 @@
         })
     }
 
-    /// Drops all that waits; whether a stop was among it.
+    /// Discards all queued events; whether a stop was among them.
     pub(crate) fn drain(&self) -> bool {
         let waiting = self.first.try_iter().chain(self.rest.try_iter());
         let stops = waiting.filter(|e| matches!(e, Event::Stop));
--- a/crates/coordinator/src/settled.rs
+++ b/crates/coordinator/src/settled.rs
@@ -1,4 +1,4 @@
-//! The document in force, and its form in the log.
+//! The document in force, and its encoding in the log.
 
 use crate::{DecodeSnafu, Result};
 use bn_wire::messages as wire;
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(crate) struct Settled {
     pub(crate) version: u64,
-    /// As it was sent in, packed.
+    /// Compressed, otherwise as it was sent in.
     pub(crate) document: Vec<u8>,
 }
 
--- a/crates/coordinator/src/settling.rs
+++ b/crates/coordinator/src/settling.rs
@@ -1,5 +1,5 @@
-//! Settling documents: any coordinator takes one, the leader appends it, and it is
-//! acknowledged once committed, which is to say synced on a majority.
+//! Proposals of documents: any coordinator accepts one, the leader appends it, and it is
+//! acknowledged once committed, that is, synced on a majority.
 
 use crate::core::{Core, answered};
 use crate::settled::{Settled, encode};
@@ -13,10 +13,10 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// How long a document waits for a leader and a majority here. Operators turn to another
-/// coordinator after a second without an answer.
+/// How long a document waits for a leader and a majority here. Operators try another coordinator
+/// after a second without an answer.
 const PATIENCE: Duration = Duration::from_millis(900);
-/// Between two tries to hand a document to the leader.
+/// Interval between two attempts to send a document to the leader.
 const PRESS_GAP: Duration = Duration::from_millis(250);
 
 enum Asker {
@@ -32,7 +32,7 @@
     next: Duration,
 }
 
-/// Documents that wait to be settled.
+/// Pending proposals.
 #[derive(Default)]
 pub(crate) struct Waits {
     list: Vec<Wait>,
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Acknowledges what is committed by now: a version that is not above the one in
-    /// force changes nothing and is acknowledged too.
+    /// Acknowledges what is committed by now: a version that is not above the one in force changes
+    /// nothing and is acknowledged too.
     pub(crate) fn finish_settling(&mut self) {
         let version = self.settled.version;
         let list = std::mem::take(&mut self.waits.list);
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Appends or hands on what waits, and gives up on what has waited too long. It may
-    /// still be settled later, so the answer promises nothing.
+    /// Appends pending documents or forwards them to the leader, and gives up on those that timed
+    /// out. These may still be committed later, so the answer promises nothing.
     pub(crate) fn press_settling(&mut self, now: Duration) {
         let list = std::mem::take(&mut self.waits.list);
         let (late, mut rest) = list.into_iter().partition::<Vec<_>, _>(|w| now >= w.until);
@@ -140,8 +140,8 @@
         }
     }
 
-    /// A document that is asked for again and again while it waits for its majority
-    /// goes into the log once a term.
+    /// A document that is submitted repeatedly while it waits for its majority is appended to the
+    /// log once per term.
     fn append_once(&mut self, settled: &Settled) {
         if !self.quorum.voters_identified() {
             return;
--- a/crates/coordinator/src/subscribers.rs
+++ b/crates/coordinator/src/subscribers.rs
@@ -1,18 +1,18 @@
-//! Gateways that this coordinator tells of backend servers, and how far each has been told.
+//! Gateways that get changes of backend servers from this coordinator, and the cursor of each.
 //!
-//! If every coordinator told every gateway, a change would reach each gateway as often as there are
-//! coordinators, and a start of all would have all registrations sent that often.
+//! If every coordinator sent them to every gateway, a change would reach each gateway as often as
+//! there are coordinators, and after a common start all registrations would be sent that often.
 
 use bn_registry::Cursor;
 use indexmap::IndexMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Between two pushes: news of backend servers are this late at the most, and a storm of them costs
-/// some messages a second and gateway.
+/// Interval between two pushes: changes of backend servers are delayed by at most this, and a flood
+/// of them costs a few messages per second and gateway.
 const GAP: Duration = Duration::from_millis(200);
 
-/// All gateways that asked for registrations last time.
+/// Gateways that requested registrations in their last poll.
 #[derive(Debug, Clone, Default)]
 pub struct Subscribers {
     told: IndexMap<SocketAddr, Cursor>,
@@ -20,23 +20,23 @@
 }
 
 impl Subscribers {
-    /// A gateway asked for registrations and is told of them up to there.
+    /// Records that a gateway requested registrations and has been sent those up to `cursor`.
     pub fn told(&mut self, gateway: SocketAddr, mark: Cursor) {
         self.told.insert(gateway, mark);
     }
 
-    /// A gateway is gone, or others tell it.
+    /// Removes a gateway that is gone, or that subscribes to another coordinator.
     pub fn drop(&mut self, gateway: SocketAddr) {
         self.told.swap_remove(&gateway);
     }
 
-    /// Whether this coordinator tells that gateway.
+    /// Whether a gateway subscribes here.
     pub fn has(&self, gateway: SocketAddr) -> bool {
         self.told.contains_key(&gateway)
     }
 
-    /// Who is to be told now of changes up to `mark`, by how far they have been told until now. What is
-    /// urgent waits for nothing.
+    /// Gateways to send changes up to `cursor` to, by the cursor that each had before. Urgent
+    /// changes are not delayed.
     pub fn behind(
         &mut self,
         now: Duration,
--- a/crates/coordinator/src/supervise.rs
+++ b/crates/coordinator/src/supervise.rs
@@ -1,4 +1,4 @@
-//! Keeping the core running over failures of its disk.
+//! Restarts the core after a disk failure.
 
 use crate::Result;
 use crate::core::Core;
@@ -11,13 +11,13 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Between two tries to open a data folder that failed.
+/// Interval between two attempts to reopen a data directory that failed.
 const DISK_PAUSE: Duration = Duration::from_millis(400);
 
 /// What a core is opened with, at the start and again after its disk failed.
 pub(crate) struct Opening {
     pub(crate) inbox: SocketAddr,
-    /// Start of the process: what is kept over a failure of the disk has times since it.
+    /// Start of the process: state that is kept over a disk failure has times relative to it.
     pub(crate) start: Instant,
     pub(crate) conf: Conf,
     pub(crate) net: Net,
@@ -26,9 +26,9 @@
     pub(crate) ring: Ring,
 }
 
-/// Runs the core. A disk that is full or stalled refuses writes for a while: the process
-/// then begins again from what is on it, as after a restart, but keeps its soft state,
-/// and backend servers and gateways need not turn elsewhere for longer than that.
+/// Runs the core. A disk that is full or stalled refuses writes for a while: the core then restarts
+/// from what is on disk, as after a restart of the process, but keeps its soft state, so that
+/// backend servers and gateways need not use other coordinators for longer than that.
 pub(crate) fn supervise(mut core: Core, opening: &Opening, inlet: &Inlet) -> Result<()> {
     loop {
         match core.run(inlet) {
@@ -41,7 +41,7 @@
         }
         let next = loop {
             std::thread::sleep(DISK_PAUSE);
-            // Whoever waits for an answer is told that there is none now.
+            // Dropping the events tells those who wait for an answer that there is none.
             if inlet.drain() {
                 return Ok(());
             }
--- a/crates/coordinator/src/tell.rs
+++ b/crates/coordinator/src/tell.rs
@@ -1,8 +1,8 @@
-//! Telling others what changed about backend servers: together, and at once where a departure must
-//! be known before it is acknowledged.
+//! Pushes of changes to backend servers: in batches, and at once if a departure must be known
+//! before it is acknowledged.
 //!
-//! A push for each change to each gateway would be tens of thousands of messages when the ranks of a
-//! large group told it. So changes go out together, to those gateways that subscribe here.
+//! A push per change and gateway would be tens of thousands of messages when the ranks of a large
+//! group report. So changes are batched, and sent to the gateways that subscribe here.
 
 use crate::core::{Core, answered};
 use bn_registry::{BackendId, Condition, Record};
@@ -12,33 +12,33 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Between two pushes of what is not urgent to the other coordinators, which are asked by
-/// gateways in turn.
+/// Interval between two pushes of changes that are not urgent to the other coordinators, which
+/// gateways poll in turn.
 const GAP: Duration = Duration::from_millis(50);
 
-/// Who waits until a change was told, and the answer.
+/// A caller that waits until a change has been pushed.
 pub(crate) enum Told {
-    /// A backend server that is one of ours announced itself.
+    /// An accepted backend server announced itself.
     Announced(oneshot::Sender<bool>),
     /// A backend server left.
     Left(oneshot::Sender<()>),
 }
 
-/// What is not told yet.
+/// Changes that have not been pushed yet.
 #[derive(Default)]
 pub(crate) struct Untold {
-    /// What other coordinators are to be told.
+    /// Changes for other coordinators.
     ids: IndexSet<BackendId>,
-    /// Those that take no more work, as they said here: all gateways are to be told.
+    /// Backend servers that reported here that they take no more requests: for all gateways.
     leaving: IndexSet<BackendId>,
-    /// Some take no more work, whoever was told.
+    /// Some backend servers take no more requests, whoever reported it.
     urgent: bool,
     waiting: Vec<Told>,
     due: Duration,
 }
 
 impl Untold {
-    /// A backend server changed; `own` where no other coordinator told so.
+    /// Adds a change; `own` unless another coordinator sent it.
     pub(crate) fn add(&mut self, record: &Record, own: bool) {
         self.ids.insert(record.id.clone());
         let leaves = record.condition != Condition::Ready;
@@ -48,12 +48,12 @@
         }
     }
 
-    /// Answered after what changed until now was told, where that is urgent.
+    /// Answers `waiter` after the next push of urgent changes.
     pub(crate) fn once_told(&mut self, told: Told) {
         self.waiting.push(told);
     }
 
-    /// Ids of changes that other coordinators are to be told now.
+    /// Ids of changes to push to other coordinators now.
     fn take(&mut self, now: Duration, urgent: bool) -> IndexSet<BackendId> {
         if self.ids.is_empty() || (!urgent && now < self.due) {
             return IndexSet::new();
@@ -64,9 +64,10 @@
 }
 
 impl Core {
-    /// Tells what changed: other coordinators and subscribers all of it, all gateways which backend servers
-    /// take no more work. Then answers those who waited for it: who is told that a departure is known
-    /// stops serving soon, and gateways that don't know of it would go on sending there.
+    /// Pushes changes: all of them to other coordinators and subscribers, and departures to all
+    /// gateways. Then answers those who waited: a backend server that knows its departure is
+    /// published stops serving soon, and gateways that do not know of it would go on sending
+    /// requests there.
     pub(crate) fn tell_changes(&mut self, now: Duration) {
         let urgent = std::mem::take(&mut self.untold.urgent);
         self.tell_departures();
@@ -80,8 +81,8 @@
         }
     }
 
-    /// Tells departures to the gateways that others tell of backend servers. Those that subscribe here hear
-    /// of them with all other changes.
+    /// Pushes departures to gateways that subscribe to other coordinators. Those that subscribe
+    /// here get them with all other changes.
     fn tell_departures(&mut self) {
         let ids = std::mem::take(&mut self.untold.leaving);
         let leaving: Vec<Registration> = ids
--- a/crates/coordinator/tests/lag.rs
+++ b/crates/coordinator/tests/lag.rs
@@ -1,4 +1,4 @@
-//! Which gateways are behind, without a network.
+//! Gateways that are behind, without a network.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -15,9 +15,8 @@
     Duration::from_millis(ms)
 }
 
-/// Symptom: a gateway acts on an old document for seconds. Sequence: the coordinator that
-/// tells it is down while documents come every 300 ms. Cause: the others waited for the
-/// newest document to get old.
+/// Failure: a gateway acts on an old document for seconds. The coordinator assigned to it is down
+/// while documents arrive every 300 ms, and the others waited for the newest document to age.
 #[googletest::test]
 fn a_gateway_that_stays_behind_is_helped_in_a_storm() {
     let mut lag = Lag::default();
--- a/crates/coordinator/tests/relays.rs
+++ b/crates/coordinator/tests/relays.rs
@@ -1,4 +1,4 @@
-//! Which way a call to an engine goes: through the relay beside it, or straight.
+//! Paths of calls to engines: through the relay next to them, or directly.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -31,9 +31,9 @@
     EngineRequest::Order(command, 1, 1)
 }
 
-/// Symptom: a group stands still for as long as one machine is frozen. Sequence: the relay
-/// beside a rank is handed the order to go on, and stops. Cause: orders around a hold went
-/// through relays, whose machines have the ranks, too.
+/// Failure: a group is stalled for as long as one machine is frozen. The relay next to a rank gets
+/// the order to go on, and stops. Orders around a hold were sent through relays, which run on the
+/// machines of the ranks.
 #[googletest::test]
 fn orders_around_a_hold_go_straight_first() {
     let straight = [
@@ -51,9 +51,9 @@
     expect_that!(way(&call(EngineRequest::Poll, 1), 16), eq(Way::Relay));
 }
 
-/// Symptom: a group stands still for seconds under a leader that is well. Sequence: new
-/// connections between the leader and a rank are refused, links that stand go on; the
-/// order to go on is repeated over new connections. Cause: one way was tried alone.
+/// Failure: a group is stalled for seconds under a healthy leader. New connections between the
+/// leader and a rank are refused while open links still work; the order to go on was only repeated
+/// over new connections.
 #[googletest::test]
 fn each_further_try_goes_another_way() {
     use Way::{Around, Relay, Straight};
@@ -69,10 +69,10 @@
     );
 }
 
-/// Symptom: a group stands still for 2.4 s under a leader that is well. Sequence: new connections of the
-/// leader are refused; some relays never had a link to it, since others passed its asks on to them; an
-/// order to arm reaches them neither straight nor by their relay. Cause: both ways begin at the leader.
-/// Evidence: all ranks but those whose relays it had no link to were armed within 60 ms.
+/// Failure: a group is stalled for 2.4 s under a healthy leader. New connections of the leader are
+/// refused; some relays have no link to it, because others forwarded its requests to them; an order
+/// to arm reaches them neither directly nor through their relay. Both paths started at the leader:
+/// all ranks except those without such a link were armed within 60 ms.
 #[googletest::test]
 fn a_relay_whose_link_stands_passes_on_what_goes_no_other_way() {
     let mut relays = Relays::default();
@@ -103,13 +103,12 @@
     expect_that!(latest, some(eq(second)));
     expect_that!(other, some(eq(first)));
     expect_that!(without, some(eq(first)));
-    // What was heard long ago says nothing of the link now.
+    // An old response says nothing about the link now.
     expect_that!(later, none());
 }
 
-/// Symptom: a switch of 192 ranks takes a second. Sequence: the leader calls each rank itself to
-/// arm it, 0.15 ms a call on a twentieth of a core. Cause: what spares a small group a stand was
-/// done to a large one, too.
+/// Failure: a switch of 192 ranks takes a second. The leader called each rank itself to arm it,
+/// 0.15 ms per call on 5 % of a core, as it does in small groups to avoid stalls.
 #[googletest::test]
 fn orders_to_many_ranks_go_by_relay_but_those_of_the_hold_itself() {
     let ways =
@@ -121,9 +120,9 @@
     expect_that!(ways(Command::Go(9))[0], eq(Way::Straight));
 }
 
-/// Symptom: a third of the relays count as silent at each switch, and the leader calls engines
-/// itself. Sequence: relays on links of 6 Mbit/s pass a map on to 13 others each. Cause: how
-/// many a relay passes on to did not depend on what.
+/// Failure: a third of the relays are considered silent at each switch, and the leader calls
+/// engines itself. Relays on links of 6 Mbit/s forward a map to 13 others each: the size of a batch
+/// did not depend on the bytes to forward.
 #[googletest::test]
 fn a_relay_passes_on_no_more_than_its_link_takes() {
     let passed_on = |count: usize, bytes: usize| (part(count, bytes) - 1) * bytes;
@@ -144,8 +143,8 @@
     expect_that!(counted(16), eq(16));
 }
 
-/// Symptom: engines beside dead relays are never looked at. Sequence: a relay dies, every
-/// ask to it runs into its time. Cause: nobody remembered that it was silent.
+/// Failure: engines next to dead relays are never polled. Every request to a dead relay timed out,
+/// because its silence was not recorded.
 #[googletest::test]
 fn a_silent_relay_is_passed_over_for_a_while() {
     let mut relays = Relays::default();
@@ -166,16 +165,16 @@
     expect_that!(relays.answered(at(5_000), 7).map(|a| a.call), none());
 }
 
-/// Symptom: after a change of leader a group stands still for ten seconds. Sequence: links between
-/// the new leader and the relays are new, and the answers to its first asks are lost; it calls 192
-/// engines itself for seconds. Cause: one silence passed a relay over for as long as many.
+/// Failure: after a change of leader a group is stalled for ten seconds. The new leader's links to
+/// the relays are new, and the responses to its first requests are lost; it calls 192 engines
+/// itself for seconds, because a relay was skipped after one failure for as long as after many.
 #[googletest::test]
 fn a_relay_that_was_silent_once_is_asked_again_soon() {
     let mut relays = Relays::default();
     let relay = relays.beside(at(0), engine(), PORT).unwrap();
 
     relays.pass_over(at(0), relay);
-    // Another ask that was out at the same time.
+    // Another request that was sent at the same time.
     relays.pass_over(at(10), relay);
     let after_one = relays.beside(at(700), engine(), PORT);
     relays.pass_over(at(800), relay);
@@ -192,8 +191,8 @@
     expect_that!(relays.beside(at(25_000), engine(), PORT), some(eq(relay)));
 }
 
-/// Symptom: a leader with a small share of a core takes a second for each look at its group.
-/// Sequence: it sends each of 72 ranks a message and gets one back. Cause: all by itself.
+/// Failure: a leader with a small share of a core takes a second for each poll of its group. It
+/// sent a message to each of 72 ranks itself and got one back.
 #[googletest::test]
 fn a_leader_sends_few_messages_to_many_ranks() {
     let messages = |ranks: usize| ranks.div_ceil(part(ranks, 0));
@@ -203,8 +202,8 @@
     expect_that!(messages(3), eq(3));
 }
 
-/// Guards against counts that cross failure domains on their way to the relay that collects them, and
-/// against ranks that are not seen because that relay is cut off.
+/// Guards against counts that cross failure domains on their way to the relay that collects them,
+/// and against ranks that are not seen because that relay is cut off.
 #[googletest::test]
 fn relays_pass_on_within_their_failure_domain() {
     let domains = ["a", "b", "c", "d", "e"];
@@ -213,7 +212,7 @@
     let parts = parts(ranks, part(192, 0), |domain| domain);
 
     expect_that!(parts.iter().map(Vec::len).sum::<usize>(), eq(192));
-    // Three of each domain, one more than parts that ignore domains.
+    // Three per domain, one more than with batches that ignore domains.
     expect_that!(parts.len(), eq(15));
     for part in parts {
         expect_true!(part.iter().all(|d| *d == part[0]));
--- a/crates/coordinator/tests/ring.rs
+++ b/crates/coordinator/tests/ring.rs
@@ -1,4 +1,4 @@
-//! What goes first into the coordinator's thread.
+//! Order and capacity of the coordinator's event queues.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -24,9 +24,9 @@
     message(Body::NewsAsk(wire::NewsAsk::default()))
 }
 
-/// Symptom: leaders are deposed one after the other for three seconds. Sequence: all processes
-/// start at once, and thousands of asks for news arrive before the next heartbeat. Cause: events
-/// were taken in the order in which they came.
+/// Failure: one leader after the other is deposed for three seconds. All processes start at once,
+/// and thousands of polls arrive before the next heartbeat: events were handled in order of
+/// arrival.
 #[googletest::test]
 fn a_flood_of_asks_does_not_hold_a_heartbeat_up() {
     let (ring, inlet) = ring();
@@ -45,8 +45,8 @@
     expect_true!(inlet.rest().is_some());
 }
 
-/// Symptom: backend servers and callers wait for answers that come too late for them. Sequence: a
-/// coordinator cannot follow. Cause: everything stood in line, however long that was.
+/// Failure: backend servers and callers wait for answers that arrive too late. A coordinator that
+/// cannot keep up queued everything, without a limit.
 #[googletest::test]
 fn what_cannot_be_answered_soon_is_turned_away() {
     let (ring, _inlet) = ring();
--- a/crates/coordinator/tests/subscribers.rs
+++ b/crates/coordinator/tests/subscribers.rs
@@ -1,4 +1,4 @@
-//! Which gateways a coordinator tells of backend servers, and when.
+//! Which gateways get changes of backend servers from a coordinator, and when.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -42,7 +42,7 @@
     expect_that!(pushes, le(6));
 }
 
-/// Guards against requests to a backend server that leaves, from gateways that are told later.
+/// Guards against requests to a backend server that leaves, from gateways that learn of it later.
 #[googletest::test]
 fn what_is_urgent_is_told_at_once() {
     let mut subscribers = Subscribers::default();
