--- a/crates/cli/src/cmd/run.rs
+++ b/crates/cli/src/cmd/run.rs
@@ -89,7 +89,7 @@
     let reload = move || match bn_conf::load(&file).map(|c| c.coordinator) {
         Ok(Some(c)) => {
             lines.put("reloaded", json!({ "changed": ["coordinator.seeds"] }));
-            send(&ring, bn_coordinator::Event::Seeds(c.seeds));
+            send(&ring, bn_coordinator::Event::SeedsChanged(c.seeds));
         }
         Ok(None) => log::error!("the settings have no coordinator section any more"),
         Err(e) => log::error!("settings not reloaded: {e}"),
@@ -101,8 +101,8 @@
         .and_then(|e| e.map_err(|e| e.to_string())))
 }
 
-fn send(ring: &bn_coordinator::Ring, event: bn_coordinator::Event) {
-    if !ring.put(event) {
+fn send(ring: &bn_coordinator::EventSender, event: bn_coordinator::Event) {
+    if !ring.send(event) {
         log::info!("the coordinator has ended already, or is too busy");
     }
 }
--- a/crates/coordinator/src/announcements.rs
+++ b/crates/coordinator/src/announcements.rs
@@ -1,8 +1,8 @@
 //! Announcements, departures and limits of backend servers, received here or from other
 //! coordinators.
 
-use crate::core::{Core, answered};
-use crate::tell::Told;
+use crate::core::{Core, count_unwanted};
+use crate::pushes::Waiter;
 use bn_backpressure::ServerLimit;
 use bn_registry::{Change, Record};
 use bn_wire::messages as wire;
@@ -52,33 +52,34 @@
         record: Record,
         done: oneshot::Sender<bool>,
     ) {
-        if !self.may_be_ours(&record) {
+        if !self.may_accept(&record) {
             let fields = json!({ "id": record.id, "service": record.service });
             self.lines.put("announcement_passed_over", fields);
-            return answered(done.send(false));
+            return count_unwanted(done.send(false));
         }
         let id = record.id.clone();
         let change = self.registry.merge(now, record);
-        self.spread(&id, change, Source::Announced);
-        self.untold.once_told(Told::Announced(done));
+        self.publish_change(&id, change, Source::Announced);
+        self.pending_pushes
+            .answer_after_push(Waiter::Announced(done));
     }
 
     /// Whether to accept a backend server by its service. If the newest document is not known, it
     /// may name services that the local one does not: such a backend server is accepted unless its
     /// id is registered for another service.
-    fn may_be_ours(&mut self, record: &Record) -> bool {
+    fn may_accept(&mut self, record: &Record) -> bool {
         let known = self.registry.get(&record.id);
-        let other = known.is_some_and(|k| k.service != record.service);
-        self.is_served(&record.service) || (!self.current && !other)
+        let other_service = known.is_some_and(|k| k.service != record.service);
+        self.is_served(&record.service) || (!self.current && !other_service)
     }
 
     /// Whether the document names a service. Every service is accepted until the first document is
     /// committed, because backend servers start before that.
     fn is_served(&mut self, service: &str) -> bool {
-        if self.settled.version == 0 || self.registry.present().any(|r| r.service == service) {
+        if self.committed.version == 0 || self.registry.present().any(|r| r.service == service) {
             return true;
         }
-        let version = self.settled.version;
+        let version = self.committed.version;
         if self.services.0 != version {
             self.services = (version, self.service_names());
         }
@@ -86,55 +87,63 @@
     }
 
     fn service_names(&self) -> IndexSet<String> {
-        let document = bn_wire::unpack(&self.settled.document).map_err(|e| e.to_string());
-        let plan = document.and_then(|d| bn_platform::plan(&d).map_err(|e| e.to_string()));
-        match plan {
-            Ok(plan) => plan.services().keys().cloned().collect(),
+        let bytes = bn_wire::unpack(&self.committed.document).map_err(|e| e.to_string());
+        let document = bytes.and_then(|d| bn_platform::plan(&d).map_err(|e| e.to_string()));
+        match document {
+            Ok(document) => document.services().keys().cloned().collect(),
             Err(e) => {
                 // The document was validated before it was proposed, so this is a bug.
-                log::error!("document {}: {e}", self.settled.version);
+                log::error!(
+                    "cannot read document version {}: {e}",
+                    self.committed.version
+                );
                 IndexSet::new()
             }
         }
     }
 
     /// A backend server reported its lock-step group or its slowdown to this leader.
-    pub(crate) fn on_rank(&mut self, now: Duration, id: &str, group: &str, pace: u32) {
+    pub(crate) fn on_rank(&mut self, now: Duration, id: &str, group: &str, slowdown: u32) {
         let Some(record) = self.registry.get(id) else {
             return;
         };
-        if record.group == group && record.slowdown == pace {
+        if record.group == group && record.slowdown == slowdown {
             return;
         }
         let term = self.quorum.term() << TERM_BITS;
-        let told = (record.rank_version + 1).max(term);
+        let rank_version = (record.rank_version + 1).max(term);
         let record = Record {
             group: group.into(),
-            slowdown: pace,
-            rank_version: told,
+            slowdown,
+            rank_version,
             ..record.clone()
         };
         let change = self.registry.merge(now, record);
-        self.spread(id, change, Source::Rank);
+        self.publish_change(id, change, Source::Rank);
     }
 
     /// A gateway reports limits. A limit for an incarnation that is not registered yet is reported
     /// again until it is.
-    pub(crate) fn on_limits(&mut self, now: Duration, inbox: SocketAddr, heard: wire::LimitsHeard) {
-        for raw in heard.limits {
+    pub(crate) fn on_limits(
+        &mut self,
+        now: Duration,
+        inbox: SocketAddr,
+        report: wire::LimitsHeard,
+    ) {
+        for raw in report.limits {
             match ServerLimit::try_from(raw) {
-                Ok(heard) => self.on_limit(now, &heard),
-                Err(e) => log::warn!("a limit from {inbox}: {e}"),
+                Ok(reported) => self.on_limit(now, &reported),
+                Err(e) => log::warn!("invalid limit from gateway {inbox}: {e}"),
             }
         }
     }
 
-    fn on_limit(&mut self, now: Duration, heard: &ServerLimit) {
-        let known = self.registry.get(&heard.id);
-        let Some(known) = known.filter(|r| r.start_time == heard.start_time) else {
+    fn on_limit(&mut self, now: Duration, reported: &ServerLimit) {
+        let known = self.registry.get(&reported.id);
+        let Some(known) = known.filter(|r| r.start_time == reported.start_time) else {
             return;
         };
-        let limit = known.limit.merge(heard.limit);
+        let limit = known.limit.merge(reported.limit);
         if limit == known.limit {
             return;
         }
@@ -143,7 +152,7 @@
             ..known.clone()
         };
         let change = self.registry.merge(now, record);
-        self.spread(&heard.id, change, Source::Limit);
+        self.publish_change(&reported.id, change, Source::Limit);
     }
 
     /// Lists the backend servers that set a limit, for operators.
@@ -162,21 +171,22 @@
     /// Records that a backend server has left for good.
     pub(crate) fn on_leave(&mut self, now: Duration, id: &str, done: oneshot::Sender<()>) {
         let change = self.registry.record_departure(now, id);
-        self.spread(id, change, Source::Left);
-        self.untold.once_told(Told::Left(done));
+        self.publish_change(id, change, Source::Left);
+        self.pending_pushes.answer_after_push(Waiter::Left(done));
     }
 
     /// Logs a change of a backend server and queues it for the next push.
-    pub(crate) fn spread(&mut self, id: &str, change: Change, source: Source) {
+    pub(crate) fn publish_change(&mut self, id: &str, change: Change, source: Source) {
         let Some(record) = self.registry.get(id).filter(|_| change == Change::Updated) else {
             return;
         };
-        self.lines.put("backend_server", told(record, source));
-        self.untold.add(record, source != Source::Coordinator);
+        self.lines.put("backend_server", log_fields(record, source));
+        self.pending_pushes
+            .add(record, source != Source::Coordinator);
     }
 }
 
-fn told(record: &Record, source: Source) -> serde_json::Value {
+fn log_fields(record: &Record, source: Source) -> serde_json::Value {
     json!({
         "id": record.id, "service": record.service, "address": record.address,
         "condition": format!("{:?}", record.condition), "sequence": record.sequence,
--- a/crates/coordinator/src/cases.rs
+++ b/crates/coordinator/src/cases.rs
@@ -24,65 +24,67 @@
 /// File with the refused requests, in the data directory.
 const FILE: &str = "refused";
 /// Interval between checks for expired cases.
-const FORGET_GAP: Duration = Duration::from_secs(10);
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Time within which several gateways report the same termination: ranks that wait for another one
 /// are abandoned after some seconds.
-const TOLD_FOR: Duration = Duration::from_secs(15);
+const REPORT_WINDOW: Duration = Duration::from_secs(15);
 
 /// Cases of a coordinator.
 pub(crate) struct Cases {
     pub(crate) table: Table,
     trials: Trials,
-    side: Side,
+    file: Side,
     /// Terminations that have been pushed to gateways.
-    ends: IndexMap<Start, Duration>,
+    pushed: IndexMap<Start, Duration>,
     /// Content of the file.
-    written: Vec<CaseUpdate>,
+    stored: Vec<CaseUpdate>,
     due: Duration,
     /// Cursor up to which cases have been pushed to gateways.
-    pushed: u64,
+    pushed_cursor: u64,
 }
 
 impl Cases {
     /// Loads the refused requests from disk. Unreadable ones are lost and cost backend servers
     /// until they are detected again; the coordinator starts all the same.
     pub(crate) fn open(data: &Path) -> Cases {
-        let side = Side::new(data, FILE, Disk::default());
+        let file = Side::new(data, FILE, Disk::default());
         let mut table = Table::default();
-        let held = side.read().map_err(|e| e.to_string()).and_then(decode);
-        match held {
-            Ok(held) => {
-                for told in &held {
-                    table.merge(Duration::ZERO, told);
+        let stored = file.read().map_err(|e| e.to_string()).and_then(decode);
+        match stored {
+            Ok(stored) => {
+                for update in &stored {
+                    table.merge(Duration::ZERO, update);
                 }
             }
-            Err(e) => log::error!("which requests are refused cannot be read: {e}"),
+            Err(e) => log::error!("cannot load refused requests from disk: {e}"),
         }
         Cases {
-            written: table.refused(),
+            stored: table.refused(),
             table,
             trials: Trials::default(),
-            side,
-            ends: IndexMap::new(),
+            file,
+            pushed: IndexMap::new(),
             due: Duration::ZERO,
-            pushed: 0,
+            pushed_cursor: 0,
         }
     }
 
     /// Takes over the cases that were known before the disk failed.
     pub(crate) fn inherit(&mut self, now: Duration, before: Cases) {
-        for told in before.table.since(0) {
-            self.table.merge(now, &told);
+        for update in before.table.since(0) {
+            self.table.merge(now, &update);
         }
         self.trials = before.trials;
     }
 
     /// Cases that changed after `cursor`. Gateways only get those that affect them.
-    pub(crate) fn told_since(&self, turn: u64, gateway: bool) -> Vec<wire::Case> {
-        let told = self.table.since(turn);
-        let told = told.iter().filter(|t| !gateway || is_acted_on(&t.case));
-        told.map(Into::into).collect()
+    pub(crate) fn updates_since(&self, cursor: u64, gateway: bool) -> Vec<wire::Case> {
+        let updates = self.table.since(cursor);
+        let updates = updates
+            .iter()
+            .filter(|u| !gateway || affects_gateways(&u.case));
+        updates.map(Into::into).collect()
     }
 }
 
@@ -91,80 +93,86 @@
     let Some(content) = content else {
         return Ok(Vec::new());
     };
-    let held = wire::News::decode(&content[..]).map_err(|e| e.to_string())?;
-    let told = held.cases.into_iter().map(CaseUpdate::try_from);
-    told.collect::<std::result::Result<_, _>>()
+    let stored = wire::News::decode(&content[..]).map_err(|e| e.to_string())?;
+    let updates = stored.cases.into_iter().map(CaseUpdate::try_from);
+    updates
+        .collect::<std::result::Result<_, _>>()
         .map_err(|e| e.to_string())
 }
 
 /// Whether the case changes what a gateway does. A single termination is counted against a dozen
 /// requests and proves nothing yet.
-fn is_acted_on(case: &Case) -> bool {
+fn affects_gateways(case: &Case) -> bool {
     case.status() != CaseStatus::Free || case.round > 0
 }
 
 impl Core {
     /// A gateway reports that a backend server terminated.
     pub(crate) fn on_ended(&mut self, now: Duration, inbox: SocketAddr, raw: wire::Ended) {
-        let end = match Termination::try_from(raw) {
-            Ok(end) => end,
+        let termination = match Termination::try_from(raw) {
+            Ok(termination) => termination,
             Err(e) => return log::warn!("an end from {inbox}: {e}"),
         };
-        let digests: Vec<String> = end.runs.iter().map(|(d, _)| to_text(*d)).collect();
+        let digests: Vec<String> = termination.runs.iter().map(|(d, _)| to_text(*d)).collect();
         self.lines.put(
             "end_heard",
-            json!({ "id": end.start.id, "began": end.start.start_time, "gateway": inbox, "digests": digests }),
+            json!({ "id": termination.start.id, "began": termination.start.start_time, "gateway": inbox, "digests": digests }),
         );
-        self.tell_end(now, &end.start);
-        for (digest, alone) in &end.runs {
+        self.push_termination(now, &termination.start);
+        for (digest, sole_trial) in &termination.runs {
             if self
                 .cases
                 .table
-                .add_termination(now, *digest, &end.start, *alone)
+                .add_termination(now, *digest, &termination.start, *sole_trial)
             {
-                self.note_case(*digest, &inbox.to_string());
+                self.log_case(*digest, &inbox.to_string());
             }
         }
     }
 
     /// Pushes a termination to gateways once: those without a request there would go on sending
     /// requests to its group, or try to connect.
-    fn tell_end(&mut self, now: Duration, start: &Start) {
-        self.cases.ends.retain(|_, at| now < *at + TOLD_FOR);
-        if self.cases.ends.insert(start.clone(), now).is_some() {
+    fn push_termination(&mut self, now: Duration, start: &Start) {
+        self.cases.pushed.retain(|_, at| now < *at + REPORT_WINDOW);
+        if self.cases.pushed.insert(start.clone(), now).is_some() {
             return;
         }
-        let news = wire::News {
+        let update = wire::News {
             ended: vec![start.into()],
-            ..self.plain_news()
+            ..self.base_update()
         };
-        self.push_to_own(&news);
+        self.push_to_assigned(&update);
     }
 
     /// Merges the cases of another coordinator.
-    pub(crate) fn take_cases(&mut self, now: Duration, inbox: SocketAddr, raw: Vec<wire::Case>) {
-        for told in raw.into_iter().map(CaseUpdate::try_from) {
-            match told {
-                Ok(told) => {
-                    if self.cases.table.merge(now, &told) {
-                        self.note_case(told.digest, &inbox.to_string());
+    pub(crate) fn merge_cases(&mut self, now: Duration, inbox: SocketAddr, raw: Vec<wire::Case>) {
+        for update in raw.into_iter().map(CaseUpdate::try_from) {
+            match update {
+                Ok(update) => {
+                    if self.cases.table.merge(now, &update) {
+                        self.log_case(update.digest, &inbox.to_string());
                     }
                 }
-                Err(e) => log::warn!("a case from {inbox}: {e}"),
+                Err(e) => log::warn!("invalid case from {inbox}: {e}"),
             }
         }
     }
 
     /// A gateway asks to try a suspect request. Only the leader answers: two coordinators could
     /// grant two trials at once.
-    pub(crate) fn on_trial_ask(&mut self, now: Duration, inbox: SocketAddr, ask: &wire::TrialAsk) {
-        let Ok(digest) = read_digest(&ask.digest) else {
+    pub(crate) fn on_trial_request(
+        &mut self,
+        now: Duration,
+        inbox: SocketAddr,
+        request: &wire::TrialAsk,
+    ) {
+        let Ok(digest) = read_digest(&request.digest) else {
             return;
         };
         if self.quorum.role() != Role::Leader {
             return;
         }
-        let time = Duration::from_millis(ask.time_ms);
+        let time = Duration::from_millis(request.time_ms);
         let refused = self.cases.table.status(digest) == CaseStatus::Refused;
         let granted = !refused && self.cases.trials.grant(now, digest, time);
         self.lines.put(
@@ -172,20 +180,20 @@
             json!({ "digest": to_text(digest), "gateway": inbox, "granted": granted }),
         );
         let answer = wire::TrialAnswer {
-            call: ask.call,
+            call: request.call,
             granted,
         };
         self.net.send(inbox, Body::TrialAnswer(answer));
     }
 
     /// A trial of a suspect request is over.
-    pub(crate) fn on_run_done(&mut self, now: Duration, inbox: SocketAddr, done: &wire::RunDone) {
-        let Ok(digest) = read_digest(&done.digest) else {
+    pub(crate) fn on_run_done(&mut self, now: Duration, inbox: SocketAddr, run: &wire::RunDone) {
+        let Ok(digest) = read_digest(&run.digest) else {
             return;
         };
-        self.cases.trials.finish(now, digest, done.whole);
-        if done.whole && self.cases.table.close(now, digest) {
-            self.note_case(digest, &inbox.to_string());
+        self.cases.trials.finish(now, digest, run.whole);
+        if run.whole && self.cases.table.close(now, digest) {
+            self.log_case(digest, &inbox.to_string());
         }
     }
 
@@ -193,57 +201,58 @@
     pub(crate) fn pardon(&mut self, now: Duration, digest: Digest) -> bool {
         let closed = self.cases.table.close(now, digest);
         if closed {
-            self.note_case(digest, "operator");
+            self.log_case(digest, "operator");
         }
         closed
     }
 
     /// Lists refused and suspect requests for operators.
     pub(crate) fn show_cases(&self) -> String {
-        let told = self.cases.table.since(0).into_iter();
-        let told = told.filter(|t| t.case.status() != CaseStatus::Free);
-        let rows = told.map(|t| {
-            let ends: Vec<&str> = t.case.terminations.iter().map(|s| s.id.as_str()).collect();
-            let standing = format!("{:?}", t.case.status());
-            json!({ "digest": to_text(t.digest), "standing": standing, "ended": ends })
+        let updates = self.cases.table.since(0).into_iter();
+        let updates = updates.filter(|u| u.case.status() != CaseStatus::Free);
+        let rows = updates.map(|u| {
+            let terminations: Vec<&str> =
+                u.case.terminations.iter().map(|s| s.id.as_str()).collect();
+            let status = format!("{:?}", u.case.status());
+            json!({ "digest": to_text(u.digest), "standing": status, "ended": terminations })
         });
         json!({ "requests": rows.collect::<Vec<_>>() }).to_string()
     }
 
-    fn note_case(&self, digest: Digest, source: &str) {
-        let Some(case) = self.cases.table.get(digest).filter(|c| is_acted_on(c)) else {
+    fn log_case(&self, digest: Digest, source: &str) {
+        let Some(case) = self.cases.table.get(digest).filter(|c| affects_gateways(c)) else {
             return;
         };
-        let ends: Vec<&str> = case.terminations.iter().map(|s| s.id.as_str()).collect();
+        let terminations: Vec<&str> = case.terminations.iter().map(|s| s.id.as_str()).collect();
         self.lines.put(
             "request_case",
             json!({
                 "digest": to_text(digest), "standing": format!("{:?}", case.status()),
-                "ended": ends, "round": case.round, "source": source,
+                "ended": terminations, "round": case.round, "source": source,
             }),
         );
     }
 
     /// Pushes changed cases that affect gateways at once, and writes refused requests to disk.
-    pub(crate) fn keep_cases(&mut self, now: Duration) {
+    pub(crate) fn maintain_cases(&mut self, now: Duration) {
         if now >= self.cases.due {
-            self.cases.due = now + FORGET_GAP;
+            self.cases.due = now + EXPIRY_INTERVAL;
             self.cases.table.expire(now);
             // Retries a write that failed.
             self.write_refused();
         }
-        let turn = self.cases.table.cursor();
-        if turn == self.cases.pushed {
+        let cursor = self.cases.table.cursor();
+        if cursor == self.cases.pushed_cursor {
             return;
         }
-        let cases = self.cases.told_since(self.cases.pushed, true);
-        self.cases.pushed = turn;
+        let cases = self.cases.updates_since(self.cases.pushed_cursor, true);
+        self.cases.pushed_cursor = cursor;
         if !cases.is_empty() {
-            let news = wire::News {
+            let update = wire::News {
                 cases,
-                ..self.plain_news()
+                ..self.base_update()
             };
-            self.push_to_own(&news);
+            self.push_to_assigned(&update);
         }
         self.write_refused();
     }
@@ -251,15 +260,15 @@
     /// A failed write is only logged: the other coordinators have the cases as well.
     fn write_refused(&mut self) {
         let refused = self.cases.table.refused();
-        if refused == self.cases.written {
+        if refused == self.cases.stored {
             return;
         }
         let content = wire::News {
             cases: refused.iter().map(Into::into).collect(),
             ..wire::News::default()
         };
-        match self.cases.side.write(&content.encode_to_vec()) {
-            Ok(()) => self.cases.written = refused,
+        match self.cases.file.write(&content.encode_to_vec()) {
+            Ok(()) => self.cases.stored = refused,
             Err(e) => log::error!("which requests are refused is not on disk: {e}"),
         }
     }
--- a/crates/coordinator/src/core.rs
+++ b/crates/coordinator/src/core.rs
@@ -1,12 +1,12 @@
 //! The thread that owns the log, the committed document and the registrations.
 
+use crate::document::{VersionedDocument, decode};
 use crate::durable::{first_members, restored};
-use crate::ring::{Event, Inlet, Ring, ring};
-use crate::settled::{Settled, decode};
+use crate::events::{Event, EventReceiver, EventSender, event_queue};
 use crate::subscribers::Subscribers;
-use crate::supervise::{Opening, supervise};
+use crate::supervise::{CoreArgs, supervise};
 use crate::{
-    CallsSnafu, ListenSnafu, Result, cases, groups, http, news, reads, relays, settling, tell,
+    CallsSnafu, ListenSnafu, Result, cases, groups, http, proposals, pushes, reads, relays, updates,
 };
 use bn_conf::{Coordinator as Conf, Settings};
 use bn_directory::Directory;
@@ -29,18 +29,18 @@
 /// Longest wait for an event: the resolution of heartbeats and elections.
 const TICK: Duration = Duration::from_millis(20);
 /// Events handled before one write: group commit.
-const GROUP: usize = 256;
+const COMMIT_BATCH: usize = 256;
 /// Time spent on deferrable events before the thread returns to consensus: a sixth of the heartbeat
 /// interval.
-const TURN: Duration = Duration::from_millis(20);
+const DEFERRABLE_TIME: Duration = Duration::from_millis(20);
 /// For how long what a leader sent counts as the newest: a leader that lost its majority steps down
 /// within this time, and a coordinator that is cut off sends no document to gateways that have
 /// none.
-const CURRENT: Duration = Duration::from_millis(900);
+const CURRENT_WINDOW: Duration = Duration::from_millis(900);
 
 /// An iteration of the event loop that takes this long was suspended or overloaded: half of the
 /// interval between two polls of a gateway.
-const HELD_UP: Duration = Duration::from_millis(400);
+const STALL_TIME: Duration = Duration::from_millis(400);
 
 /// State of a coordinator.
 pub(crate) struct Core {
@@ -51,26 +51,26 @@
     pub(crate) seeds: Vec<SocketAddr>,
     pub(crate) quorum: Replica,
     pub(crate) store: Store,
-    pub(crate) settled: Settled,
+    pub(crate) committed: VersionedDocument,
     pub(crate) applied: u64,
     pub(crate) logged_bytes: usize,
     pub(crate) registry: Registry,
     /// Services in the document, and the version of that document.
     pub(crate) services: (u64, IndexSet<String>),
     pub(crate) directory: Directory,
-    pub(crate) peers: news::Peers,
-    pub(crate) untold: tell::Untold,
+    pub(crate) peers: updates::Peers,
+    pub(crate) pending_pushes: pushes::PendingPushes,
     pub(crate) subscribers: Subscribers,
-    pub(crate) waits: settling::Waits,
+    pub(crate) proposals: proposals::Proposals,
     pub(crate) reads: reads::Reads,
     pub(crate) members: Membership,
     /// Coordinators that others reported.
-    pub(crate) heard_of: IndexSet<SocketAddr>,
+    pub(crate) known_coordinators: IndexSet<SocketAddr>,
     pub(crate) groups: groups::Groups,
     pub(crate) cases: cases::Cases,
     pub(crate) calls: Calls,
     pub(crate) relays: relays::Relays,
-    pub(crate) ring: Ring,
+    pub(crate) events: EventSender,
     usage: Usage,
     role: Role,
     /// Whether all committed entries were known at the last check.
@@ -85,43 +85,43 @@
     settings: &Settings,
     conf: &Conf,
     lines: Lines,
-) -> Result<(Ring, std::thread::JoinHandle<Result<()>>)> {
-    let (ring, events) = ring();
-    let sink = ring.clone();
+) -> Result<(EventSender, std::thread::JoinHandle<Result<()>>)> {
+    let (events, receiver) = event_queue();
+    let sender = events.clone();
     let id = settings.inbox.ip().to_string();
-    let put = move |e| sink.put(Event::Message(Box::new(e)));
+    let deliver = move |e| sender.send(Event::Message(Box::new(e)));
     let net = Net::begin(
         ProcessRole::Coordinator,
         &id,
         settings.inbox,
         settings.listen,
-        put,
+        deliver,
     )?;
-    let opening = Opening {
+    let args = CoreArgs {
         inbox: settings.inbox,
         start: Instant::now(),
         conf: conf.clone(),
         net,
         lines,
         calls: Calls::start().context(CallsSnafu)?,
-        ring: ring.clone(),
+        events: events.clone(),
     };
-    let core = Core::open(&opening)?;
+    let core = Core::open(&args)?;
     for address in [Some(conf.control), conf.directory].into_iter().flatten() {
         let listener = TcpListener::bind(address).context(ListenSnafu { address })?;
-        http::serve(listener, ring.clone()).context(ListenSnafu { address })?;
+        http::serve(listener, events.clone()).context(ListenSnafu { address })?;
     }
-    let thread = std::thread::spawn(move || supervise(core, &opening, &events));
-    Ok((ring, thread))
+    let thread = std::thread::spawn(move || supervise(core, &args, &receiver));
+    Ok((events, thread))
 }
 
 impl Core {
-    pub(crate) fn open(opening: &Opening) -> Result<Core> {
-        let Opening {
+    pub(crate) fn open(args: &CoreArgs) -> Result<Core> {
+        let CoreArgs {
             inbox, conf, lines, ..
-        } = opening;
-        let fresh = rand::random::<u64>() | 1;
-        let (mut store, mut loaded) = Store::open(&conf.data, fresh, Disk::default())?;
+        } = args;
+        let new_identity = rand::random::<u64>() | 1;
+        let (mut store, mut loaded) = Store::open(&conf.data, new_identity, Disk::default())?;
         let identity = loaded.identity;
         let empty = loaded.snapshot.is_none() && loaded.entries.is_empty();
         let seeds = inboxes(&conf.seeds, inbox.port());
@@ -140,49 +140,49 @@
             }),
         );
         let restored = restored(loaded)?;
-        let (settled, applied) = match &restored.snapshot {
+        let (committed, applied) = match &restored.snapshot {
             Some(s) => (decode(&s.state)?, s.index),
-            None => (Settled::default(), 0),
+            None => (VersionedDocument::default(), 0),
         };
-        let setup = ReplicaConfig {
+        let config = ReplicaConfig {
             id: inbox.ip().to_string(),
             identity,
             initial_members: Default::default(),
             timing: Timing::NO_LEASE,
             seed: rand::random(),
         };
-        let start = opening.start;
-        let quorum = Replica::new(setup, restored, start.elapsed());
+        let start = args.start;
+        let quorum = Replica::new(config, restored, start.elapsed());
         Ok(Core {
             role: quorum.role(),
             current: false,
             voting: None,
             calls_made: 0,
-            net: opening.net.clone(),
+            net: args.net.clone(),
             lines: lines.clone(),
             start,
             inbox: *inbox,
             seeds,
             quorum,
             store,
-            settled,
+            committed,
             applied,
             logged_bytes: 0,
             registry: Registry::default(),
             services: Default::default(),
             directory: Directory::default(),
             peers: Default::default(),
-            untold: Default::default(),
+            pending_pushes: Default::default(),
             subscribers: Default::default(),
-            waits: Default::default(),
+            proposals: Default::default(),
             reads: Default::default(),
-            heard_of: IndexSet::new(),
+            known_coordinators: IndexSet::new(),
             members: Membership::new(&inbox.to_string(), conf.losses as usize),
             groups: Default::default(),
             cases: cases::Cases::open(&conf.data),
-            calls: opening.calls.clone(),
+            calls: args.calls.clone(),
             relays: Default::default(),
-            ring: opening.ring.clone(),
+            events: args.events.clone(),
             usage: Usage::default(),
         })
     }
@@ -193,48 +193,48 @@
         self.directory = before.directory;
         self.cases.inherit(self.now(), before.cases);
         self.seeds = before.seeds;
-        self.heard_of = before.heard_of;
+        self.known_coordinators = before.known_coordinators;
     }
 
-    pub(crate) fn run(&mut self, inlet: &Inlet) -> Result<()> {
-        let mut turned = self.now();
+    pub(crate) fn run(&mut self, receiver: &EventReceiver) -> Result<()> {
+        let mut last_iteration = self.now();
         loop {
-            inlet.wait(TICK);
-            if self.now() > turned + HELD_UP {
+            receiver.wait(TICK);
+            if self.now() > last_iteration + STALL_TIME {
                 self.directory.resume(self.now());
             }
-            turned = self.now();
-            for event in std::iter::from_fn(|| inlet.first()).take(GROUP) {
+            last_iteration = self.now();
+            for event in std::iter::from_fn(|| receiver.next_urgent()).take(COMMIT_BATCH) {
                 match event {
                     Event::Stop => return Ok(()),
-                    event => self.take(event),
+                    event => self.handle(event),
                 }
             }
-            self.take_rest(inlet);
+            self.handle_deferrable(receiver);
             let now = self.now();
             self.quorum.tick(now);
             self.flush()?;
-            self.note_role();
-            self.note_current(now);
-            self.keep_cases(now);
+            self.log_role_change();
+            self.log_current_change(now);
+            self.maintain_cases(now);
             self.answer_reads(now);
-            self.press_settling(now);
-            self.keep_members(now);
-            self.ask_peers(now);
-            self.tell_changes(now);
-            self.steer_groups(now);
+            self.advance_proposals(now);
+            self.update_membership(now);
+            self.poll_peers(now);
+            self.push_changes(now);
+            self.update_groups(now);
             self.flush()?;
             self.usage
-                .note(now, &self.net, &self.lines, || inlet.waiting());
+                .note(now, &self.net, &self.lines, || receiver.queue_lengths());
         }
     }
 
     /// Handles deferrable events for a short time.
-    fn take_rest(&mut self, inlet: &Inlet) {
-        let until = self.now() + TURN;
-        let events = std::iter::from_fn(|| inlet.rest());
-        for event in events.take(GROUP) {
-            self.take(event);
+    fn handle_deferrable(&mut self, receiver: &EventReceiver) {
+        let until = self.now() + DEFERRABLE_TIME;
+        let events = std::iter::from_fn(|| receiver.next_deferrable());
+        for event in events.take(COMMIT_BATCH) {
+            self.handle(event);
             if self.now() >= until {
                 return;
             }
@@ -244,7 +244,7 @@
     /// Id of a request to another coordinator. Ids start at a random number: a late response to a
     /// request of an earlier incarnation would otherwise be taken for the response to a new
     /// request, and acknowledge a document that was never committed.
-    pub(crate) fn next_call(&mut self) -> u64 {
+    pub(crate) fn next_call_id(&mut self) -> u64 {
         self.calls_made += 1;
         self.net.incarnation().wrapping_add(self.calls_made)
     }
@@ -254,25 +254,29 @@
         self.start.elapsed()
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let now = self.now();
         match event {
-            Event::Message(m) => self.take_message(now, *m),
+            Event::Message(m) => self.handle_message(now, *m),
             Event::Announce(record, done) => self.on_announce(now, record, done),
             Event::Leave(id, done) => self.on_leave(now, &id, done),
-            Event::Settle(plan, document, done) => self.on_settle(now, &plan, document, done),
-            Event::Read(done) => self.on_read(now, done),
-            Event::Cases(done) => answered(done.send(self.show_cases())),
-            Event::Limits(done) => answered(done.send(self.show_limits())),
-            Event::Members(done) => answered(done.send(self.show_members())),
+            Event::Propose(document, compressed, done) => {
+                self.on_propose(now, &document, compressed, done)
+            }
+            Event::ReadDocument(done) => self.on_read(now, done),
+            Event::Cases(done) => count_unwanted(done.send(self.show_cases())),
+            Event::Limits(done) => count_unwanted(done.send(self.show_limits())),
+            Event::Members(done) => count_unwanted(done.send(self.show_members())),
             Event::Pardon(digest, done) => {
-                answered(done.send(self.pardon(now, digest)));
+                count_unwanted(done.send(self.pardon(now, digest)));
             }
             Event::Resolve(domain, done) => {
-                answered(done.send(self.directory.select(now).addresses(&domain)));
+                count_unwanted(done.send(self.directory.select(now).addresses(&domain)));
+            }
+            Event::EngineReplied(group, call, reply) => {
+                self.on_engine_reply(now, &group, call, reply)
             }
-            Event::Called(group, call, reply) => self.on_called(now, &group, call, reply),
-            Event::Seeds(seeds) => {
+            Event::SeedsChanged(seeds) => {
                 self.seeds = inboxes(&seeds, self.inbox.port());
                 self.lines
                     .put("seeds_changed", json!({ "seeds": self.seeds }));
@@ -281,7 +285,7 @@
         }
     }
 
-    fn take_message(&mut self, now: Duration, envelope: Envelope) {
+    fn handle_message(&mut self, now: Duration, envelope: Envelope) {
         let Ok(inbox) = envelope.inbox.parse::<SocketAddr>() else {
             return;
         };
@@ -291,17 +295,17 @@
                     self.quorum.receive(now, &envelope.from, message);
                 }
             }
-            Some(Body::NewsAsk(ask)) => self.on_news_ask(now, inbox, &ask),
-            Some(Body::News(news)) => self.on_news(now, inbox, envelope.incarnation, news),
-            Some(Body::DocumentAsk(ask)) => self.on_document_ask(now, inbox, ask),
-            Some(Body::DocumentAnswer(answer)) => self.on_document_answer(&answer),
-            Some(Body::ReadAsk(ask)) => self.on_read_ask(now, inbox, &ask),
-            Some(Body::ReadAnswer(answer)) => self.on_read_answer(&answer),
-            Some(Body::JoinAsk(ask)) => self.on_join_ask(inbox, &ask),
+            Some(Body::NewsAsk(poll)) => self.on_poll(now, inbox, &poll),
+            Some(Body::News(update)) => self.on_update(now, inbox, envelope.incarnation, update),
+            Some(Body::DocumentAsk(request)) => self.on_document_request(now, inbox, request),
+            Some(Body::DocumentAnswer(answer)) => self.on_document_response(&answer),
+            Some(Body::ReadAsk(request)) => self.on_read_request(now, inbox, &request),
+            Some(Body::ReadAnswer(answer)) => self.on_read_response(&answer),
+            Some(Body::JoinAsk(request)) => self.on_join_request(inbox, &request),
             Some(Body::Ended(ended)) => self.on_ended(now, inbox, ended),
-            Some(Body::TrialAsk(ask)) => self.on_trial_ask(now, inbox, &ask),
-            Some(Body::RunDone(done)) => self.on_run_done(now, inbox, &done),
-            Some(Body::LimitsHeard(heard)) => self.on_limits(now, inbox, heard),
+            Some(Body::TrialAsk(request)) => self.on_trial_request(now, inbox, &request),
+            Some(Body::RunDone(run)) => self.on_run_done(now, inbox, &run),
+            Some(Body::LimitsHeard(report)) => self.on_limits(now, inbox, report),
             Some(Body::EngineAnswers(answers)) => self.on_engine_answers(now, answers),
             _ => {}
         }
@@ -310,11 +314,11 @@
     /// Writes to disk, then sends, then applies, until nothing is left to do. A message sent before
     /// the sync could acknowledge what a crash then loses.
     pub(crate) fn flush(&mut self) -> Result<()> {
-        let before = self.settled.version;
+        let before = self.committed.version;
         self.flush_all()?;
         // Once, with the newest: after a start the whole log is applied, and gateways would get
         // every document in it.
-        if self.settled.version > before {
+        if self.committed.version > before {
             self.push_document();
         }
         Ok(())
@@ -353,19 +357,21 @@
         match entry.payload {
             Payload::Empty => {}
             Payload::Members(m) => {
-                let named = m
+                let members = m
                     .iter()
                     .map(|(id, m)| json!({ "id": id, "voter": m.voter }));
-                let named: Vec<_> = named.collect();
-                self.lines
-                    .put("members", json!({ "index": entry.index, "members": named }));
+                let members: Vec<_> = members.collect();
+                self.lines.put(
+                    "members",
+                    json!({ "index": entry.index, "members": members }),
+                );
             }
             Payload::Command(bytes) => {
                 self.logged_bytes += bytes.len();
                 match decode(&bytes) {
-                    Ok(settled) => self.adopt(settled),
+                    Ok(committed) => self.adopt(committed),
                     // Every replica skips it alike.
-                    Err(e) => log::error!("entry {}: {e}", entry.index),
+                    Err(e) => log::error!("log entry {} skipped: {e}", entry.index),
                 }
             }
         }
@@ -373,36 +379,36 @@
 
     /// Applies a committed document; one that is not newer than the document in force changes
     /// nothing.
-    pub(crate) fn adopt(&mut self, settled: Settled) {
-        let older = settled.version <= self.settled.version;
+    pub(crate) fn adopt(&mut self, committed: VersionedDocument) {
+        let older = committed.version <= self.committed.version;
         self.lines.put(
             "document_committed",
             json!({
-                "version": settled.version, "bytes": settled.document.len(),
+                "version": committed.version, "bytes": committed.document.len(),
                 "index": self.applied, "in_force": !older,
             }),
         );
         if !older {
-            self.settled = settled;
+            self.committed = committed;
         }
-        self.finish_settling();
+        self.acknowledge_committed();
     }
 
     /// Logs whether everything that was committed until [`CURRENT_WINDOW`] ago is known here.
-    fn note_current(&mut self, now: Duration) {
-        let current = self.quorum.is_current(now, CURRENT);
+    fn log_current_change(&mut self, now: Duration) {
+        let current = self.quorum.is_current(now, CURRENT_WINDOW);
         if current == self.current {
             return;
         }
         self.current = current;
         let fields = json!({
-            "current": current, "version": self.settled.version,
+            "current": current, "version": self.committed.version,
             "leader": self.quorum.leader(), "term": self.quorum.term(),
         });
         self.lines.put("current", fields);
     }
 
-    fn note_role(&mut self) {
+    fn log_role_change(&mut self) {
         let role = self.quorum.role();
         if role == self.role {
             return;
@@ -418,7 +424,7 @@
 
 /// Counts a response whose receiver is gone, such as a closed HTTP request; nothing else follows
 /// from it.
-pub(crate) fn answered<T>(sent: std::result::Result<(), T>) {
+pub(crate) fn count_unwanted<T>(sent: std::result::Result<(), T>) {
     if sent.is_err() {
         metrics::counter!("answers_unwanted_total").increment(1);
     }
--- a/crates/coordinator/src/durable.rs
+++ b/crates/coordinator/src/durable.rs
@@ -2,7 +2,7 @@
 //! replaces many documents.
 
 use crate::core::Core;
-use crate::settled::{Settled, decode, encode};
+use crate::document::{VersionedDocument, decode, encode};
 use crate::{DecodeSnafu, Result};
 use bn_quorum::{Entry, Member, Output, Restored};
 use bn_store::Loaded;
@@ -15,10 +15,10 @@
 /// document, the only one that matters. A follower that lags gets that one instead of dozens:
 /// documents with hundreds of routes have some 30 KB compressed, and sending all of them repeatedly
 /// takes the link and the CPU away from everything else.
-const SNAPSHOT_TIMES: usize = 4;
+const SNAPSHOT_FACTOR: usize = 4;
 const SNAPSHOT_BYTES: usize = 128 << 10;
 /// Entries kept in memory behind a snapshot, for followers that lag a little.
-const KEPT: u64 = 3;
+const KEPT_ENTRIES: u64 = 3;
 
 impl Core {
     /// Writes and syncs the output of the log; nothing that depends on it may be answered before.
@@ -36,20 +36,23 @@
             cut_from: out.truncate_from.unwrap_or(0),
             entries: out.append.iter().map(Into::into).collect(),
         };
-        let began = self.now();
+        let start = self.now();
         self.store.append(&batch)?;
-        metrics::histogram!("log_commit_seconds").record(self.now() - began);
+        metrics::histogram!("log_commit_seconds").record(self.now() - start);
         Ok(())
     }
 
     /// Replaces the entries by a snapshot once they are large compared with the newest document.
     pub(super) fn compact(&mut self) -> Result<()> {
-        let most = SNAPSHOT_BYTES + SNAPSHOT_TIMES * self.settled.document.len();
-        if self.logged_bytes < most {
+        let limit = SNAPSHOT_BYTES + SNAPSHOT_FACTOR * self.committed.document.len();
+        if self.logged_bytes < limit {
             return Ok(());
         }
-        let state = encode(&self.settled);
-        if let Some(snapshot) = self.quorum.compact_keeping(self.applied, state, KEPT) {
+        let state = encode(&self.committed);
+        if let Some(snapshot) = self
+            .quorum
+            .compact_keeping(self.applied, state, KEPT_ENTRIES)
+        {
             let rest = self.quorum.entries_after(snapshot.index);
             let rest = rest.iter().map(Into::into).collect();
             self.store.snapshot(&(&snapshot).into(), rest)?;
@@ -72,7 +75,7 @@
     };
     bn_quorum::Snapshot {
         members: seeds.iter().map(member).collect(),
-        state: encode(&Settled::default()),
+        state: encode(&VersionedDocument::default()),
         ..bn_quorum::Snapshot::default()
     }
 }
--- a/crates/coordinator/src/carry.rs
+++ b/crates/coordinator/src/engine_calls.rs
@@ -1,10 +1,10 @@
 //! Sends the requests of switch controllers to engines and returns the replies: through the relay
 //! next to an engine, in batches that one relay forwards, or directly over HTTP.
 
-use crate::asks::engine_ask;
 use crate::core::Core;
-use crate::relays::{self, About, GroupId};
-use crate::ring::Event;
+use crate::engine_requests::relay_request;
+use crate::events::Event;
+use crate::relays::{self, GroupId, RequestKind};
 use bn_engine::{Answer, Call, What};
 use bn_group::switch_controller::{self, Command, EngineRequest, Reply, SwitchController};
 use bn_wire::messages::envelope::Body;
@@ -15,14 +15,14 @@
 
 /// Groups of at most this many ranks are armed by the leader itself, rank by rank: on 5 % of a
 /// core, all are armed within a third of a forward pass.
-const MANY: usize = 16;
+const MAX_DIRECT_ARMS: usize = 16;
 /// Number of paths that attempts alternate between.
-const WAYS: u32 = 3;
+const PATH_COUNT: u32 = 3;
 
 impl Core {
     /// Sends each call by its path: in batches that one relay forwards, by another relay, or
     /// directly.
-    pub(super) fn carry(
+    pub(super) fn send_calls(
         &mut self,
         now: Duration,
         group: &GroupId,
@@ -32,122 +32,123 @@
         let count = calls.len();
         let ranks = self
             .groups
-            .pilots
+            .controllers
             .get(group)
             .map_or(0, SwitchController::rank_count);
-        let mut beside = Vec::new();
-        for (at, call) in calls.into_iter().enumerate() {
+        let mut relayed = Vec::new();
+        for (index, call) in calls.into_iter().enumerate() {
             let record = self.registry.get(&call.engine);
             let Some((record, address)) = record.and_then(|r| Some((r, r.address?))) else {
-                self.hand_back(group, call.id, Reply::Silent);
+                self.queue_reply(group, call.id, Reply::Silent);
                 continue;
             };
             let domain = record.domain.clone();
-            let counts = relays::is_counted(at, count);
-            let relay = self.relays.beside(now, address, port);
-            match (way(&call, ranks), relay) {
-                (Way::Relay, Some(relay)) => beside.push(Beside {
+            let counts = relays::reports_counts(index, count);
+            let relay = self.relays.relay_of(now, address, port);
+            match (call_path(&call, ranks), relay) {
+                (CallPath::Relay, Some(relay)) => relayed.push(RelayedCall {
                     relay,
                     domain,
                     counts,
                     call,
                 }),
-                (Way::Around, _) => {
+                (CallPath::OtherRelay, _) => {
                     let relay = SocketAddr::new(address.ip(), port);
-                    let around = Beside {
+                    let relayed = RelayedCall {
                         relay,
                         domain,
                         counts,
                         call,
                     };
-                    self.carry_around(now, group, address, around);
+                    self.send_by_other_relay(now, group, address, relayed);
                 }
-                _ => self.call_straight(group, address, call),
+                _ => self.call_directly(group, address, call),
             }
         }
-        let map = self.map_of(&beside);
-        let part = relays::part(beside.len(), map.len());
-        for calls in relays::parts(beside, part, |b| &b.domain) {
-            self.ask_relays(now, group, &calls, &map);
+        let map = self.batch_map(&relayed);
+        let size = relays::batch_size(relayed.len(), map.len());
+        for calls in relays::batches(relayed, size, |c| &c.domain) {
+            self.send_batch(now, group, &calls, &map);
         }
     }
 
     /// Sends a call by another relay that is connected; the engine's own relay may have no link to
     /// the leader.
-    fn carry_around(
+    fn send_by_other_relay(
         &mut self,
         now: Duration,
         group: &GroupId,
         address: SocketAddr,
-        around: Beside,
+        relayed: RelayedCall,
     ) {
-        let Some(head) = self.relays.standing(now, around.relay) else {
-            return self.call_straight(group, address, around.call);
+        let Some(forwarder) = self.relays.connected_relay(now, relayed.relay) else {
+            return self.call_directly(group, address, relayed.call);
         };
-        let calls = [around];
-        let map = self.map_of(&calls);
-        self.ask_by(now, group, head, &calls, &map);
+        let calls = [relayed];
+        let map = self.batch_map(&calls);
+        self.send_through(now, group, forwarder, &calls, &map);
     }
 
     /// The packed map of the prepare orders in a batch; they all have the same one.
-    fn map_of(&mut self, calls: &[Beside]) -> Vec<u8> {
-        let map = calls.iter().find_map(|b| match &b.call.request {
+    fn batch_map(&mut self, calls: &[RelayedCall]) -> Vec<u8> {
+        let map = calls.iter().find_map(|c| match &c.call.request {
             EngineRequest::Order(Command::Prepare(_, map), ..) => Some(map.clone()),
             _ => None,
         });
-        map.map_or_else(Vec::new, |map| self.groups.written.packed(&map))
+        map.map_or_else(Vec::new, |map| self.groups.encodings.packed(&map))
     }
 
     /// Sends a batch to its first relay, which forwards it to the others.
-    fn ask_relays(&mut self, now: Duration, group: &GroupId, calls: &[Beside], map: &[u8]) {
+    fn send_batch(&mut self, now: Duration, group: &GroupId, calls: &[RelayedCall], map: &[u8]) {
         // The same relay is used each time: new links cost the leader and the relays CPU time, and
         // a switch of a large group would need dozens of them per round. A relay that is dead is
         // detected and skipped, and the next one replaces it.
-        if let Some(head) = calls.first().map(|b| b.relay) {
-            self.ask_by(now, group, head, calls, map);
+        if let Some(forwarder) = calls.first().map(|c| c.relay) {
+            self.send_through(now, group, forwarder, calls, map);
         }
     }
 
-    fn ask_by(
+    fn send_through(
         &mut self,
         now: Duration,
         group: &GroupId,
-        head: SocketAddr,
-        calls: &[Beside],
+        forwarder: SocketAddr,
+        calls: &[RelayedCall],
         map: &[u8],
     ) {
-        let mut asks = EngineAsks {
+        let mut batch = EngineAsks {
             map: map.to_vec(),
             ..EngineAsks::default()
         };
-        for Beside {
+        for RelayedCall {
             relay,
             counts,
             call,
             ..
         } in calls
         {
-            let number = self.next_call();
-            let (ask, about) = engine_ask(number, *relay, call, *counts);
-            asks.asks.push(ask);
-            let to = (*relay, head);
-            self.relays.asked(now, number, (group, call.id), to, about);
+            let id = self.next_call_id();
+            let (request, kind) = relay_request(id, *relay, call, *counts);
+            batch.asks.push(request);
+            let to = (*relay, forwarder);
+            self.relays
+                .record_request(now, id, (group, call.id), to, kind);
         }
-        self.net.send(head, Body::EngineAsks(asks));
+        self.net.send(forwarder, Body::EngineAsks(batch));
     }
 
-    fn call_straight(
+    fn call_directly(
         &mut self,
         group: &GroupId,
         address: SocketAddr,
         call: switch_controller::Call,
     ) {
-        let (path, body, read) = self.groups.written.call(call.request);
-        let (ring, group) = (self.ring.clone(), group.clone());
-        let number = call.id;
+        let (path, body, decode) = self.groups.encodings.http_request(call.request);
+        let (events, group) = (self.events.clone(), group.clone());
+        let id = call.id;
         let done = move |answer: Answer| {
-            let reply = answer.map_or(Reply::Silent, |(status, body)| read(status, &body));
-            ring.put(Event::Called(group, number, reply));
+            let reply = answer.map_or(Reply::Silent, |(status, body)| decode(status, &body));
+            events.send(Event::EngineReplied(group, id, reply));
         };
         self.calls.put(Call {
             what: What {
@@ -160,51 +161,52 @@
         });
     }
 
-    fn hand_back(&self, group: &GroupId, call: u64, reply: Reply) {
-        self.ring.put(Event::Called(group.clone(), call, reply));
+    fn queue_reply(&self, group: &GroupId, call: u64, reply: Reply) {
+        self.events
+            .send(Event::EngineReplied(group.clone(), call, reply));
     }
 
     /// Fails the requests that a relay left unanswered; the switch controller retries them
     /// directly.
-    pub(super) fn drop_overdue(&mut self, now: Duration) {
-        for ask in self.relays.overdue(now) {
-            self.net.forget(ask.head);
-            self.note_silent_relay(ask.head, ask.about);
-            self.on_called(now, &ask.group, ask.call, Reply::Silent);
+    pub(super) fn fail_overdue(&mut self, now: Duration) {
+        for pending in self.relays.take_overdue(now) {
+            self.net.forget(pending.forwarder);
+            self.log_silent_relay(pending.forwarder, pending.kind);
+            self.on_engine_reply(now, &pending.group, pending.call, Reply::Silent);
         }
     }
 
-    fn note_silent_relay(&self, relay: SocketAddr, about: About) {
-        let fields = json!({ "relay": relay, "about": format!("{about:?}") });
+    fn log_silent_relay(&self, relay: SocketAddr, kind: RequestKind) {
+        let fields = json!({ "relay": relay, "about": format!("{kind:?}") });
         self.lines.put("relay_silent", fields);
     }
 
     /// Handles the responses that a relay collected.
     pub(crate) fn on_engine_answers(&mut self, now: Duration, answers: EngineAnswers) {
         let EngineAnswers { answers, counts } = answers;
-        let mut lately = (!counts.is_empty()).then_some(counts);
+        let mut recent_counts = (!counts.is_empty()).then_some(counts);
         for answer in answers {
             // A response after the timeout: the request has been failed already.
-            let Some(ask) = self.relays.answered(now, answer.call) else {
+            let Some(pending) = self.relays.take_request(now, answer.call) else {
                 continue;
             };
             if answer.unheard {
-                self.relays.pass_over(now, ask.relay);
-                self.note_silent_relay(ask.relay, ask.about);
+                self.relays.record_silence(now, pending.relay);
+                self.log_silent_relay(pending.relay, pending.kind);
             } else {
-                self.relays.heard(ask.relay);
+                self.relays.record_response(pending.relay);
             }
             // Counts are the sum over all engines of the batch, so they go with any one of the
             // replies.
-            let lately = answer.view.as_ref().and_then(|_| lately.take());
-            let reply = relays::read(ask.about, answer, lately);
-            self.on_called(now, &ask.group, ask.call, reply);
+            let recent_counts = answer.view.as_ref().and_then(|_| recent_counts.take());
+            let reply = relays::decode(pending.kind, answer, recent_counts);
+            self.on_engine_reply(now, &pending.group, pending.call, reply);
         }
     }
 }
 
 /// A call that is sent through the relay next to its engine.
-struct Beside {
+struct RelayedCall {
     relay: SocketAddr,
     /// Failure domain of the engine, and so of its relay.
     domain: String,
@@ -215,13 +217,13 @@
 
 /// Path of a call to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum CallPath {
     /// Over HTTP, from the leader.
-    Straight,
+    Direct,
     /// Through the relay next to the engine.
     Relay,
     /// Through that relay, forwarded by another one.
-    Around,
+    OtherRelay,
 }
 
 /// Chooses the path of a call in a group of `ranks` ranks. Orders around a hold are sent directly
@@ -235,20 +237,20 @@
 /// and a leader that cannot open connections has no link to relays that only got forwarded
 /// requests: the third attempt goes through a relay that answers the leader. Otherwise a held group
 /// is stalled until the leader can open connections again.
-pub fn way(call: &switch_controller::Call, ranks: usize) -> Way {
-    let by_relay = match &call.request {
+pub fn call_path(call: &switch_controller::Call, ranks: usize) -> CallPath {
+    let prefers_relay = match &call.request {
         EngineRequest::Report | EngineRequest::Poll | EngineRequest::ReportWhenCopied(_) => true,
         EngineRequest::Order(command, ..) => match command {
             Command::Prepare(..) => true,
-            Command::Arm(..) | Command::Disarm(..) => ranks > MANY,
+            Command::Arm(..) | Command::Disarm(..) => ranks > MAX_DIRECT_ARMS,
             Command::Hold(..) | Command::Go(..) => false,
         },
         // Relays do not support these requests.
-        EngineRequest::Counts | EngineRequest::List => return Way::Straight,
+        EngineRequest::Counts | EngineRequest::List => return CallPath::Direct,
     };
-    match (call.attempt % WAYS, by_relay) {
-        (0, _) => Way::Around,
-        (1, true) | (2, false) => Way::Relay,
-        _ => Way::Straight,
+    match (call.attempt % PATH_COUNT, prefers_relay) {
+        (0, _) => CallPath::OtherRelay,
+        (1, true) | (2, false) => CallPath::Relay,
+        _ => CallPath::Direct,
     }
 }
--- a/crates/coordinator/src/asks.rs
+++ b/crates/coordinator/src/engine_requests.rs
@@ -1,6 +1,6 @@
 //! Encodes the requests of switch controllers for engines and relays, and decodes the responses.
 
-use crate::relays::About;
+use crate::relays::RequestKind;
 use bn_group::ExpertMap;
 use bn_group::switch_controller::{self, Command, EngineReport, EngineRequest, Reply};
 use bn_platform::engine::{self, Operation, RankedMap};
@@ -9,24 +9,27 @@
 use std::sync::Arc;
 
 /// Decodes status and body of a response.
-pub(crate) type Read = fn(u16, &[u8]) -> Reply;
+pub(crate) type ReplyDecoder = fn(u16, &[u8]) -> Reply;
 
 /// The last ordered map, encoded for HTTP orders and for relays.
 #[derive(Default)]
-pub(crate) struct Written {
+pub(crate) struct MapEncodings {
     ranked: Option<(Arc<ExpertMap>, RankedMap)>,
     packed: Option<(Arc<ExpertMap>, Vec<u8>)>,
 }
 
-impl Written {
+impl MapEncodings {
     /// Path and body of a request to an engine, and the decoder of its response.
-    pub(crate) fn call(&mut self, ask: EngineRequest) -> (&'static str, Option<Vec<u8>>, Read) {
-        match ask {
+    pub(crate) fn http_request(
+        &mut self,
+        request: EngineRequest,
+    ) -> (&'static str, Option<Vec<u8>>, ReplyDecoder) {
+        match request {
             EngineRequest::Report | EngineRequest::Poll | EngineRequest::ReportWhenCopied(_) => {
-                (engine::REPORT, None, read_report)
+                (engine::REPORT, None, decode_report)
             }
-            EngineRequest::Counts => (engine::PICKED, None, read_counts),
-            EngineRequest::List => (engine::LISTS, None, read_lists),
+            EngineRequest::Counts => (engine::PICKED, None, decode_counts),
+            EngineRequest::List => (engine::LISTS, None, decode_lists),
             EngineRequest::Order(command, epoch, token) => {
                 let operation = match command {
                     Command::Prepare(version, map) => self
@@ -36,7 +39,11 @@
                 };
                 // Engines refuse an empty order.
                 let body = operation.map(|o| engine::order(o, epoch, token));
-                (engine::ORDER, Some(body.unwrap_or_default()), read_order)
+                (
+                    engine::ORDER,
+                    Some(body.unwrap_or_default()),
+                    decode_order_reply,
+                )
             }
         }
     }
@@ -48,10 +55,10 @@
         {
             return packed.clone();
         }
-        let packed = bn_engine::pack_places(ranks(map), &map.layers);
+        let packed = bn_engine::pack_places(rank_count(map), &map.layers);
         // A relay refuses an empty map, and its engine is then called directly.
         let packed = packed.unwrap_or_else(|e| {
-            log::error!("a map: {e}");
+            log::error!("cannot encode expert map: {e}");
             Vec::new()
         });
         self.packed = Some((map.clone(), packed.clone()));
@@ -67,50 +74,52 @@
             return Some(ranked.clone());
         }
         let ranked = RankedMap::new(&by_rank(map));
-        let ranked = ranked.map_err(|e| log::error!("a map: {e}")).ok()?;
+        let ranked = ranked
+            .map_err(|e| log::error!("cannot encode expert map: {e}"))
+            .ok()?;
         self.ranked = Some((map.clone(), ranked.clone()));
         Some(ranked)
     }
 }
 
 /// Builds the request to a relay, and its kind; `counts` asks a poll to include token counts.
-pub(crate) fn engine_ask(
-    number: u64,
+pub(crate) fn relay_request(
+    id: u64,
     relay: SocketAddr,
     call: &switch_controller::Call,
     counts: bool,
-) -> (EngineAsk, About) {
-    let mut ask = EngineAsk {
-        call: number,
+) -> (EngineAsk, RequestKind) {
+    let mut request = EngineAsk {
+        call: id,
         engine: call.engine.clone(),
         relay: relay.to_string(),
         ..EngineAsk::default()
     };
-    let about = match &call.request {
+    let kind = match &call.request {
         EngineRequest::Order(Command::Prepare(version, _), epoch, token) => {
-            ask.prepare = Some(PrepareOrder {
+            request.prepare = Some(PrepareOrder {
                 version: *version,
                 epoch: *epoch,
                 token: *token,
             });
-            About::Order
+            RequestKind::Order
         }
         EngineRequest::Order(command, epoch, token) => {
             let body = operation(command).map(|o| engine::order(o, *epoch, *token));
-            ask.order = body.unwrap_or_default();
-            About::Held
+            request.order = body.unwrap_or_default();
+            RequestKind::Held
         }
         EngineRequest::ReportWhenCopied(version) => {
-            ask.copied = *version;
-            About::Copies
+            request.copied = *version;
+            RequestKind::Copies
         }
         EngineRequest::Poll => {
-            ask.counts = counts;
-            About::Look
+            request.counts = counts;
+            RequestKind::Look
         }
-        EngineRequest::Report | EngineRequest::Counts | EngineRequest::List => About::Look,
+        EngineRequest::Report | EngineRequest::Counts | EngineRequest::List => RequestKind::Look,
     };
-    (ask, about)
+    (request, kind)
 }
 
 /// Builds an order that carries no map.
@@ -124,29 +133,29 @@
     })
 }
 
-fn ranks(map: &ExpertMap) -> usize {
+fn rank_count(map: &ExpertMap) -> usize {
     let last = map.layers.iter().flatten().flatten().max();
     last.map_or(0, |r| *r as usize + 1)
 }
 
 /// The experts of each rank, layer by layer.
 fn by_rank(map: &ExpertMap) -> Vec<Vec<Vec<u32>>> {
-    let ranks = ranks(map);
+    let ranks = rank_count(map);
     let layer = |layer: &Vec<Vec<u32>>| {
-        let mut held = vec![Vec::new(); ranks];
+        let mut per_rank = vec![Vec::new(); ranks];
         for (expert, holders) in layer.iter().enumerate() {
             for rank in holders {
-                if let Some(held) = held.get_mut(*rank as usize) {
-                    held.push(expert as u32);
+                if let Some(experts) = per_rank.get_mut(*rank as usize) {
+                    experts.push(expert as u32);
                 }
             }
         }
-        held
+        per_rank
     };
     map.layers.iter().map(layer).collect()
 }
 
-fn read_report(status: u16, body: &[u8]) -> Reply {
+fn decode_report(status: u16, body: &[u8]) -> Reply {
     match (status, engine::report(body)) {
         (200, Ok(r)) => Reply::Report(EngineReport {
             group: r.group,
@@ -167,26 +176,26 @@
     }
 }
 
-fn read_counts(status: u16, body: &[u8]) -> Reply {
+fn decode_counts(status: u16, body: &[u8]) -> Reply {
     match (status, engine::counts(body)) {
         (200, Ok(c)) => Reply::Counts(c.epoch, c.counts),
         _ => Reply::Odd,
     }
 }
 
-fn read_lists(status: u16, body: &[u8]) -> Reply {
+fn decode_lists(status: u16, body: &[u8]) -> Reply {
     match (status, engine::lists(body)) {
         (200, Ok(l)) => Reply::List(l.version, l.experts),
         _ => Reply::Odd,
     }
 }
 
-fn read_order(status: u16, _: &[u8]) -> Reply {
-    read_status(u32::from(status))
+fn decode_order_reply(status: u16, _: &[u8]) -> Reply {
+    decode_status(u32::from(status))
 }
 
 /// Interprets the status of the response to an order.
-pub(crate) fn read_status(status: u32) -> Reply {
+pub(crate) fn decode_status(status: u32) -> Reply {
     match status {
         200 | 202 => Reply::Done,
         409 => Reply::Conflict,
--- a/crates/coordinator/src/ring.rs
+++ b/crates/coordinator/src/events.rs
@@ -20,10 +20,10 @@
 use crate::relays::GroupId;
 
 /// Capacity of the urgent queue: responses of all engines of some groups at once.
-const FIRST: usize = 8192;
+const URGENT_CAPACITY: usize = 8192;
 /// Capacity of the deferrable queue. Senders of events that do not fit retry, at another
 /// coordinator that is less busy; a longer queue would only make each answer too late.
-const REST: usize = 1024;
+const DEFERRABLE_CAPACITY: usize = 1024;
 
 /// Event for the coordinator's thread.
 pub enum Event {
@@ -34,9 +34,9 @@
     /// A backend server leaves.
     Leave(String, oneshot::Sender<()>),
     /// An operator's validated document.
-    Settle(Box<Document>, Vec<u8>, oneshot::Sender<bool>),
+    Propose(Box<Document>, Vec<u8>, oneshot::Sender<bool>),
     /// An operator reads the document in force; answered with `None` if that is uncertain.
-    Read(oneshot::Sender<Option<Vec<u8>>>),
+    ReadDocument(oneshot::Sender<Option<Vec<u8>>>),
     /// An operator requests the refused requests; answered as JSON.
     Cases(oneshot::Sender<String>),
     /// An operator requests the members of the log; answered as JSON.
@@ -48,16 +48,16 @@
     /// A caller in that failure domain requests gateway addresses.
     Resolve(String, oneshot::Sender<Vec<SocketAddr>>),
     /// Reply to a call to an engine about its group, or a failure.
-    Called(GroupId, u64, Reply),
+    EngineReplied(GroupId, u64, Reply),
     /// The settings have other seeds.
-    Seeds(Vec<SocketAddr>),
+    SeedsChanged(Vec<SocketAddr>),
     /// Starts a graceful stop.
     Stop,
 }
 
 impl Event {
     /// Whether the event may wait: its sender retries, or tries another coordinator.
-    fn may_wait(&self) -> bool {
+    fn is_deferrable(&self) -> bool {
         match self {
             Event::Announce(..) | Event::Leave(..) | Event::Resolve(..) => true,
             Event::Message(m) => matches!(
@@ -71,82 +71,85 @@
 
 /// Sending end. Cheap to clone.
 #[derive(Clone)]
-pub struct Ring {
-    first: Sender<Event>,
-    rest: Sender<Event>,
+pub struct EventSender {
+    urgent: Sender<Event>,
+    deferrable: Sender<Event>,
 }
 
 /// Receiving end, of the coordinator's thread.
-pub struct Inlet {
-    first: Receiver<Event>,
-    rest: Receiver<Event>,
+pub struct EventReceiver {
+    urgent: Receiver<Event>,
+    deferrable: Receiver<Event>,
     /// Most events queued in each.
     longest: Cell<(usize, usize)>,
 }
 
 /// Creates both ends.
-pub fn ring() -> (Ring, Inlet) {
-    let (first, first_out) = bounded(FIRST);
-    let (rest, rest_out) = bounded(REST);
-    let inlet = Inlet {
-        first: first_out,
-        rest: rest_out,
+pub fn event_queue() -> (EventSender, EventReceiver) {
+    let (urgent, urgent_out) = bounded(URGENT_CAPACITY);
+    let (deferrable, deferrable_out) = bounded(DEFERRABLE_CAPACITY);
+    let receiver = EventReceiver {
+        urgent: urgent_out,
+        deferrable: deferrable_out,
         longest: Cell::default(),
     };
-    (Ring { first, rest }, inlet)
+    (EventSender { urgent, deferrable }, receiver)
 }
 
-impl Ring {
+impl EventSender {
     /// Queues an event; `false`, and counted, if the queue is full or closed.
-    pub fn put(&self, event: Event) -> bool {
-        let way = match event.may_wait() {
-            true => &self.rest,
-            false => &self.first,
+    pub fn send(&self, event: Event) -> bool {
+        let queue = match event.is_deferrable() {
+            true => &self.deferrable,
+            false => &self.urgent,
         };
-        let taken = way.try_send(event).is_ok();
-        if !taken {
+        let queued = queue.try_send(event).is_ok();
+        if !queued {
             metrics::counter!("ring_lost_total").increment(1);
         }
-        taken
+        queued
     }
 }
 
-impl Inlet {
+impl EventReceiver {
     /// Waits for an event, for at most `most`.
     pub(crate) fn wait(&self, most: Duration) {
-        let mut either = Select::new();
-        either.recv(&self.first);
-        either.recv(&self.rest);
+        let mut select = Select::new();
+        select.recv(&self.urgent);
+        select.recv(&self.deferrable);
         // In either case the caller checks both queues.
-        let _ = either.ready_timeout(most);
-        let (first, rest) = self.longest.get();
-        let longest = (first.max(self.first.len()), rest.max(self.rest.len()));
+        let _ = select.ready_timeout(most);
+        let (urgent, deferrable) = self.longest.get();
+        let longest = (
+            urgent.max(self.urgent.len()),
+            deferrable.max(self.deferrable.len()),
+        );
         self.longest.set(longest);
     }
 
     /// The next urgent event.
-    pub fn first(&self) -> Option<Event> {
-        self.first.try_recv().ok()
+    pub fn next_urgent(&self) -> Option<Event> {
+        self.urgent.try_recv().ok()
     }
 
     /// The next deferrable event.
-    pub fn rest(&self) -> Option<Event> {
-        self.rest.try_recv().ok()
+    pub fn next_deferrable(&self) -> Option<Event> {
+        self.deferrable.try_recv().ok()
     }
 
     /// Current queue lengths, and the greatest since the last call.
-    pub(crate) fn waiting(&self) -> Value {
+    pub(crate) fn queue_lengths(&self) -> Value {
         let longest = self.longest.take();
         json!({
-            "first": self.first.len(), "rest": self.rest.len(),
+            "first": self.urgent.len(), "rest": self.deferrable.len(),
             "first_longest": longest.0, "rest_longest": longest.1,
         })
     }
 
     /// Discards all queued events; whether a stop was among them.
-    pub(crate) fn drain(&self) -> bool {
-        let waiting = self.first.try_iter().chain(self.rest.try_iter());
-        let stops = waiting.filter(|e| matches!(e, Event::Stop));
+    pub(crate) fn discard_all(&self) -> bool {
+        let queued = self.urgent.try_iter().chain(self.deferrable.try_iter());
+        let stops = queued.filter(|e| matches!(e, Event::Stop));
         stops.count() > 0
     }
 }
--- a/crates/coordinator/src/groups.rs
+++ b/crates/coordinator/src/groups.rs
@@ -1,8 +1,8 @@
 //! Balancing of lock-step groups, by the leader only: sends the calls of each group's
 //! [`SwitchController`] to the engines and returns their replies.
 
-use crate::asks::Written;
 use crate::core::Core;
+use crate::engine_requests::MapEncodings;
 use crate::relays::GroupId;
 use bn_group::GroupDiscovery;
 use bn_group::switch_controller::{
@@ -14,9 +14,9 @@
 use std::time::Duration;
 
 /// First call id of group discovery, far above those of switch controllers.
-const MUSTER_CALLS: u64 = 1 << 62;
+const FIRST_DISCOVERY_ID: u64 = 1 << 62;
 /// Most discovery calls per term.
-const PER_TERM: u64 = 1 << 20;
+const IDS_PER_TERM: u64 = 1 << 20;
 
 /// The leader's state of all groups.
 #[derive(Default)]
@@ -27,91 +27,95 @@
     /// Services whose engines share experts.
     shapes: IndexMap<String, Shape>,
     /// Discovery of the groups, by service.
-    musters: IndexMap<String, GroupDiscovery>,
-    pub(crate) pilots: IndexMap<GroupId, SwitchController>,
+    discoveries: IndexMap<String, GroupDiscovery>,
+    pub(crate) controllers: IndexMap<GroupId, SwitchController>,
     /// Cursor of the registrations at the last discovery.
-    mark: u64,
+    cursor: u64,
     /// Highest numbers that the switch controllers of this term have used.
     used: UsedNumbers,
-    pub(crate) written: Written,
+    pub(crate) encodings: MapEncodings,
 }
 
 impl Core {
     /// Advances every group. A coordinator that is not the leader does nothing: the next leader
     /// fences, discovers and completes what is under way.
-    pub(crate) fn steer_groups(&mut self, now: Duration) {
+    pub(crate) fn update_groups(&mut self, now: Duration) {
         if self.quorum.role() != Role::Leader {
-            self.groups.pilots.clear();
-            self.groups.musters.clear();
+            self.groups.controllers.clear();
+            self.groups.discoveries.clear();
             return;
         }
-        self.drop_overdue(now);
+        self.fail_overdue(now);
         let term = self.quorum.term();
         if self.groups.term != term {
             self.groups.term = term;
-            self.groups.pilots.clear();
-            self.groups.musters.clear();
+            self.groups.controllers.clear();
+            self.groups.discoveries.clear();
             self.groups.used = UsedNumbers::default();
         }
         self.read_shapes();
         for (service, shape) in self.groups.shapes.clone() {
-            self.muster(now, &service);
-            self.steer_service(now, &service, shape);
+            self.discover_groups(now, &service);
+            self.update_service(now, &service, shape);
         }
-        self.groups.mark = self.registry.cursor();
+        self.groups.cursor = self.registry.cursor();
     }
 
     /// Queries engines whose group is unknown, or that may have left it.
-    fn muster(&mut self, now: Duration, service: &str) {
-        let mark = self.registry.cursor();
-        let known = self.groups.musters.get(service);
-        if known.is_some_and(|m| !m.is_due(now)) && self.groups.mark == mark {
+    fn discover_groups(&mut self, now: Duration, service: &str) {
+        let cursor = self.registry.cursor();
+        let known = self.groups.discoveries.get(service);
+        if known.is_some_and(|d| !d.is_due(now)) && self.groups.cursor == cursor {
             return;
         }
         let engines = self.engines_of(service);
         let groups = &mut self.groups;
-        let first = MUSTER_CALLS.wrapping_add(groups.term * PER_TERM);
-        let muster = groups.musters.entry(service.into());
-        let muster = muster.or_insert_with(|| GroupDiscovery::new(first));
-        let pilots = &groups.pilots;
-        let unsure = |name: &str| {
+        let first = FIRST_DISCOVERY_ID.wrapping_add(groups.term * IDS_PER_TERM);
+        let discovery = groups.discoveries.entry(service.into());
+        let discovery = discovery.or_insert_with(|| GroupDiscovery::new(first));
+        let controllers = &groups.controllers;
+        let needs_discovery = |name: &str| {
             let id = group_id(service, name);
-            pilots
+            controllers
                 .get(&id)
                 .is_none_or(SwitchController::needs_discovery)
         };
-        let calls = muster.tick(now, &engines, unsure);
+        let calls = discovery.tick(now, &engines, needs_discovery);
         if !calls.is_empty() {
-            self.carry(now, &group_id(service, ""), calls);
+            self.send_calls(now, &group_id(service, ""), calls);
         }
     }
 
     /// Advances the switch controllers of a service, and creates those of new groups.
-    fn steer_service(&mut self, now: Duration, service: &str, shape: Shape) {
-        let Some(muster) = self.groups.musters.get(service) else {
+    fn update_service(&mut self, now: Duration, service: &str, shape: Shape) {
+        let Some(discovery) = self.groups.discoveries.get(service) else {
             return;
         };
-        let mut names = muster.complete_groups().to_vec();
+        let mut names = discovery.complete_groups().to_vec();
         // An incomplete group may be held by its switch controller, which must be able to release
         // it.
-        let steered = self.groups.pilots.keys().filter(|g| g.service == service);
-        names.extend(steered.map(|g| g.name.clone()));
+        let controlled = self
+            .groups
+            .controllers
+            .keys()
+            .filter(|g| g.service == service);
+        names.extend(controlled.map(|g| g.name.clone()));
         names.sort_unstable();
         names.dedup();
         for name in names {
             let id = group_id(service, &name);
-            let known = self.groups.pilots.get(&id);
-            if known.is_some_and(|p| !p.is_due(now)) {
+            let known = self.groups.controllers.get(&id);
+            if known.is_some_and(|c| !c.is_due(now)) {
                 continue;
             }
-            let muster = self.groups.musters.get(service);
-            let members = muster.map_or_else(IndexMap::new, |m| m.members(&name));
-            let calls = self.tick_pilot(now, &id, shape, members);
-            self.carry(now, &id, calls);
+            let discovery = self.groups.discoveries.get(service);
+            let members = discovery.map_or_else(IndexMap::new, |d| d.members(&name));
+            let calls = self.tick_controller(now, &id, shape, members);
+            self.send_calls(now, &id, calls);
         }
     }
 
-    fn tick_pilot(
+    fn tick_controller(
         &mut self,
         now: Duration,
         id: &GroupId,
@@ -119,63 +123,69 @@
         members: IndexMap<EngineId, EngineReport>,
     ) -> Vec<switch_controller::Call> {
         let groups = &mut self.groups;
-        if !groups.pilots.contains_key(id) {
-            let mut pilot = SwitchController::new(groups.term, shape);
-            pilot.skip_past(groups.used);
-            let calls = pilot.start(now, members);
-            groups.used = groups.used.max(pilot.used_numbers());
-            groups.pilots.insert(id.clone(), pilot);
+        if !groups.controllers.contains_key(id) {
+            let mut controller = SwitchController::new(groups.term, shape);
+            controller.skip_past(groups.used);
+            let calls = controller.start(now, members);
+            groups.used = groups.used.max(controller.used_numbers());
+            groups.controllers.insert(id.clone(), controller);
             return calls;
         }
-        let Some(pilot) = groups.pilots.get_mut(id) else {
+        let Some(controller) = groups.controllers.get_mut(id) else {
             return Vec::new();
         };
-        pilot.skip_past(groups.used);
+        controller.skip_past(groups.used);
         let engines: Vec<EngineId> = members.into_keys().collect();
-        let calls = pilot.tick(now, &engines);
-        groups.used = groups.used.max(pilot.used_numbers());
+        let calls = controller.tick(now, &engines);
+        groups.used = groups.used.max(controller.used_numbers());
         calls
     }
 
-    pub(crate) fn on_called(&mut self, now: Duration, group: &GroupId, call: u64, reply: Reply) {
-        let odd = match reply {
+    pub(crate) fn on_engine_reply(
+        &mut self,
+        now: Duration,
+        group: &GroupId,
+        call: u64,
+        reply: Reply,
+    ) {
+        let failure = match reply {
             Reply::Conflict | Reply::Fenced | Reply::Odd | Reply::Silent => Some(reply.clone()),
             Reply::Done | Reply::Report(_) | Reply::Counts(..) | Reply::List(..) => None,
         };
-        if let Some(odd) = odd {
+        if let Some(failure) = failure {
             let fields = json!({
                 "service": group.service, "group": group.name, "call": call,
-                "reply": format!("{odd:?}"),
+                "reply": format!("{failure:?}"),
             });
             self.lines.put("engine_call_failed", fields);
         }
         if group.name.is_empty() {
-            return self.on_mustered(now, &group.service, call, reply);
+            return self.on_discovery_reply(now, &group.service, call, reply);
         }
-        let Some(pilot) = self.groups.pilots.get_mut(group) else {
+        let Some(controller) = self.groups.controllers.get_mut(group) else {
             return;
         };
-        let calls = pilot.reply(now, call, reply);
-        self.groups.used = self.groups.used.max(pilot.used_numbers());
-        let (notes, paces) = (pilot.take_events(), pilot.take_slowdowns());
-        for note in notes {
-            self.note_group(group, &note);
+        let calls = controller.reply(now, call, reply);
+        self.groups.used = self.groups.used.max(controller.used_numbers());
+        let (events, slowdowns) = (controller.take_events(), controller.take_slowdowns());
+        for event in events {
+            self.log_switch_event(group, &event);
         }
-        for (engine, pace) in paces {
-            self.on_rank(now, &engine, &group.name, pace);
+        for (engine, slowdown) in slowdowns {
+            self.on_rank(now, &engine, &group.name, slowdown);
         }
-        self.carry(now, group, calls);
+        self.send_calls(now, group, calls);
     }
 
     /// An engine reported its group: gateways get it as well, because the ranks of a group share
     /// their slowdown.
-    fn on_mustered(&mut self, now: Duration, service: &str, call: u64, reply: Reply) {
-        let Some(muster) = self.groups.musters.get_mut(service) else {
+    fn on_discovery_reply(&mut self, now: Duration, service: &str, call: u64, reply: Reply) {
+        let Some(discovery) = self.groups.discoveries.get_mut(service) else {
             return;
         };
-        if let Some((engine, name)) = muster.reply(call, reply) {
-            let pace = self.registry.get(&engine).map_or(0, |r| r.slowdown);
-            self.on_rank(now, &engine, &name, pace);
+        if let Some((engine, name)) = discovery.reply(call, reply) {
+            let slowdown = self.registry.get(&engine).map_or(0, |r| r.slowdown);
+            self.on_rank(now, &engine, &name, slowdown);
         }
     }
 
@@ -190,28 +200,36 @@
     }
 
     fn read_shapes(&mut self) {
-        if self.groups.version == self.settled.version {
+        if self.groups.version == self.committed.version {
             return;
         }
-        self.groups.version = self.settled.version;
-        let document = match bn_wire::unpack(&self.settled.document) {
-            Ok(document) => document,
-            Err(e) => return log::error!("document {}: {e}", self.settled.version),
+        self.groups.version = self.committed.version;
+        let bytes = match bn_wire::unpack(&self.committed.document) {
+            Ok(bytes) => bytes,
+            Err(e) => {
+                return log::error!(
+                    "cannot decompress document version {}: {e}",
+                    self.committed.version
+                );
+            }
         };
-        match bn_platform::plan(&document) {
-            Ok(plan) => self.groups.shapes = shapes(&plan),
+        match bn_platform::plan(&bytes) {
+            Ok(document) => self.groups.shapes = shapes(&document),
             // The document was validated before it was proposed, so this is a bug.
-            Err(e) => log::error!("document {} does not hold: {e}", self.settled.version),
+            Err(e) => log::error!(
+                "document version {} is invalid: {e}",
+                self.committed.version
+            ),
         }
     }
 
-    fn note_group(&self, group: &GroupId, note: &SwitchEvent) {
-        let (before, after) = note.skew.map_or((None, None), |(b, a)| (Some(b), Some(a)));
+    fn log_switch_event(&self, group: &GroupId, event: &SwitchEvent) {
+        let (before, after) = event.skew.map_or((None, None), |(b, a)| (Some(b), Some(a)));
         let fields = json!({
-            "service": group.service, "group": group.name, "number": note.number, "term": self.groups.term,
-            "skew_before": before, "skew_after": after, "slowest_pace": note.max_slowdown,
+            "service": group.service, "group": group.name, "number": event.number, "term": self.groups.term,
+            "skew_before": before, "skew_after": after, "slowest_pace": event.max_slowdown,
         });
-        self.lines.put(note.event, fields);
+        self.lines.put(event.event, fields);
     }
 }
 
@@ -222,8 +240,8 @@
     }
 }
 
-fn shapes(plan: &bn_settle::Document) -> IndexMap<String, Shape> {
-    let grouped = plan.services().values().filter_map(|s| {
+fn shapes(document: &bn_settle::Document) -> IndexMap<String, Shape> {
+    let grouped = document.services().values().filter_map(|s| {
         let experts = s.engine?.experts?;
         let shape = Shape {
             sets: experts.sets,
--- a/crates/coordinator/src/http.rs
+++ b/crates/coordinator/src/http.rs
@@ -1,6 +1,6 @@
 //! HTTP server of the coordinator: parses calls, passes them to the core and waits for its answer.
 
-use crate::ring::{Event, Ring};
+use crate::events::{Event, EventSender};
 use bn_directory::ANSWER_TTL;
 use bn_platform::call::{self, Call};
 use bn_serve::{Body, BodyFault, Bounds, text, whole_body};
@@ -12,18 +12,18 @@
 use tokio::sync::oneshot;
 
 /// Largest accepted body: an operator's document has some hundred KB.
-const LARGEST_BODY: usize = 8 << 20;
+const MAX_BODY_BYTES: usize = 8 << 20;
 const JSON: &str = "application/json";
 
 /// Serves until the process ends.
-pub(crate) fn serve(listener: TcpListener, ring: Ring) -> io::Result<()> {
+pub(crate) fn serve(listener: TcpListener, events: EventSender) -> io::Result<()> {
     bn_serve::serve(listener, "http", None, move |request| {
-        let ring = ring.clone();
-        async move { answer(&ring, request).await }
+        let events = events.clone();
+        async move { answer(&events, request).await }
     })
 }
 
-async fn answer(ring: &Ring, request: Request<Incoming>) -> Response<Body> {
+async fn answer(events: &EventSender, request: Request<Incoming>) -> Response<Body> {
     let uri = request.uri();
     let parsed = call::parse(
         request.method().as_str(),
@@ -31,95 +31,98 @@
         uri.query().unwrap_or_default(),
     );
     let Some(parsed) = parsed else {
-        return fault(404, "there is no such call");
+        return error_response(404, "there is no such call");
     };
-    let time = Bounds::default().body_time;
-    let body = match whole_body(request.into_body(), LARGEST_BODY, time).await {
+    let timeout = Bounds::default().body_time;
+    let body = match whole_body(request.into_body(), MAX_BODY_BYTES, timeout).await {
         Ok(body) => body,
-        Err(BodyFault::TooLarge) => return fault(413, "the body is too large"),
-        Err(BodyFault::Slow) => return fault(408, "the body came too slowly"),
-        Err(BodyFault::Broken) => return fault(400, "the body broke off"),
+        Err(BodyFault::TooLarge) => return error_response(413, "the body is too large"),
+        Err(BodyFault::Slow) => return error_response(408, "the body came too slowly"),
+        Err(BodyFault::Broken) => return error_response(400, "the body broke off"),
     };
     match parsed {
         Call::Ready => text(200, JSON, "{}"),
-        Call::Resolve { domain } => resolve(ring, domain).await,
-        Call::Announce { id } => announce(ring, &id, &body).await,
+        Call::Resolve { domain } => resolve(events, domain).await,
+        Call::Announce { id } => announce(events, &id, &body).await,
         Call::Leave { id } => {
-            let left = ask(ring, |done| Event::Leave(id, done)).await;
-            done_or_busy(left.is_some())
+            let left = query_core(events, |done| Event::Leave(id, done)).await;
+            ok_or_busy(left.is_some())
         }
-        Call::Settle => settle(ring, body.to_vec()).await,
-        Call::Read => match ask(ring, Event::Read).await.flatten() {
-            Some(packed) => match bn_wire::unpack(&packed) {
+        Call::Settle => propose(events, body.to_vec()).await,
+        Call::Read => match query_core(events, Event::ReadDocument).await.flatten() {
+            Some(compressed) => match bn_wire::unpack(&compressed) {
                 Ok(document) => text(200, JSON, document),
-                Err(e) => fault(500, &format!("the document cannot be unpacked: {e}")),
+                Err(e) => error_response(500, &format!("the document cannot be unpacked: {e}")),
             },
-            None => fault(503, "the newest document is not known for sure"),
+            None => error_response(503, "the newest document is not known for sure"),
         },
     }
 }
 
-async fn resolve(ring: &Ring, domain: String) -> Response<Body> {
-    let addresses = ask(ring, |done| Event::Resolve(domain, done)).await;
+async fn resolve(events: &EventSender, domain: String) -> Response<Body> {
+    let addresses = query_core(events, |done| Event::Resolve(domain, done)).await;
     let addresses = addresses.unwrap_or_default();
     if addresses.is_empty() {
-        return fault(503, "no gateway is known");
+        return error_response(503, "no gateway is known");
     }
     text(200, JSON, bn_platform::addresses(&addresses, ANSWER_TTL))
 }
 
-async fn announce(ring: &Ring, id: &str, body: &[u8]) -> Response<Body> {
+async fn announce(events: &EventSender, id: &str, body: &[u8]) -> Response<Body> {
     match bn_platform::announcement(id, body) {
         Ok(record) => {
-            let taken = ask(ring, |done| Event::Announce(record, done)).await;
-            match taken {
-                Some(false) => fault(400, "there is no such service"),
-                taken => done_or_busy(taken.is_some()),
+            let accepted = query_core(events, |done| Event::Announce(record, done)).await;
+            match accepted {
+                Some(false) => error_response(400, "there is no such service"),
+                accepted => ok_or_busy(accepted.is_some()),
             }
         }
         Err(e) => {
-            log::info!("an announcement of {id} was passed over: {e}");
-            fault(400, &e.to_string())
+            log::info!("announcement of backend server {id} rejected: {e}");
+            error_response(400, &e.to_string())
         }
     }
 }
 
 /// An invalid document is refused whatever its version; versions are compared only afterwards.
-async fn settle(ring: &Ring, document: Vec<u8>) -> Response<Body> {
-    let plan = match bn_platform::plan(&document) {
-        Ok(plan) => Box::new(plan),
+async fn propose(events: &EventSender, document: Vec<u8>) -> Response<Body> {
+    let parsed = match bn_platform::plan(&document) {
+        Ok(parsed) => Box::new(parsed),
         Err(e) => {
-            log::info!("a document was refused: {e}");
-            return fault(400, &e.to_string());
+            log::info!("document rejected: {e}");
+            return error_response(400, &e.to_string());
         }
     };
-    let packed = match bn_wire::pack(&document) {
-        Ok(packed) => packed,
-        Err(e) => return fault(500, &format!("the document cannot be packed: {e}")),
+    let compressed = match bn_wire::pack(&document) {
+        Ok(compressed) => compressed,
+        Err(e) => return error_response(500, &format!("the document cannot be packed: {e}")),
     };
-    let settled = ask(ring, |done| Event::Settle(plan, packed, done)).await;
-    match settled {
+    let committed = query_core(events, |done| Event::Propose(parsed, compressed, done)).await;
+    match committed {
         Some(true) => text(200, JSON, "{}"),
-        _ => fault(503, "not settled yet: send it again"),
+        _ => error_response(503, "not settled yet: send it again"),
     }
 }
 
 /// Sends an event to the core and waits for the answer; `None` if the core is overloaded or gone.
-async fn ask<T>(ring: &Ring, event: impl FnOnce(oneshot::Sender<T>) -> Event) -> Option<T> {
+async fn query_core<T>(
+    events: &EventSender,
+    event: impl FnOnce(oneshot::Sender<T>) -> Event,
+) -> Option<T> {
     let (done, answer) = oneshot::channel();
-    if !ring.put(event(done)) {
+    if !events.send(event(done)) {
         return None;
     }
     answer.await.ok()
 }
 
-fn done_or_busy(done: bool) -> Response<Body> {
+fn ok_or_busy(done: bool) -> Response<Body> {
     match done {
         true => text(200, JSON, "{}"),
-        false => fault(503, "too busy"),
+        false => error_response(503, "too busy"),
     }
 }
 
-fn fault(status: u16, reason: &str) -> Response<Body> {
+fn error_response(status: u16, reason: &str) -> Response<Body> {
     text(status, JSON, json!({ "error": reason }).to_string())
 }
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -5,32 +5,34 @@
 //! queues.
 
 mod announcements;
-mod asks;
-mod carry;
 mod cases;
 mod core;
+mod document;
 mod durable;
+mod engine_calls;
+mod engine_requests;
+mod events;
 mod groups;
 mod http;
 mod members;
-mod news;
 mod pages;
+mod proposals;
+mod pushes;
 mod reads;
 mod relays;
-mod ring;
-mod settled;
-mod settling;
 mod subscribers;
 mod supervise;
-mod tell;
+mod updates;
 
-pub use self::carry::{Way, way};
 pub use self::core::start;
-pub use self::news::Lag;
+pub use self::engine_calls::{CallPath, call_path};
+pub use self::events::{Event, EventReceiver, EventSender, event_queue};
 pub use self::pages::{LIMITS, MEMBERS, QUARANTINE, pages};
-pub use self::relays::{About, Ask as RelayAsk, GroupId, Relays, is_counted, part, parts};
-pub use self::ring::{Event, Inlet, Ring, ring};
+pub use self::relays::{
+    GroupId, PendingRequest, Relays, RequestKind, batch_size, batches, reports_counts,
+};
 pub use self::subscribers::Subscribers;
+pub use self::updates::GatewayLag;
 
 use snafu::Snafu;
 
@@ -53,7 +55,7 @@
         source: std::io::Error,
     },
     /// The thread for outgoing calls could not be started.
-    #[snafu(display("thread for calls: {source}"))]
+    #[snafu(display("cannot start the thread for outgoing calls: {source}"))]
     Calls {
         /// Error of the system.
         source: std::io::Error,
@@ -65,7 +67,7 @@
         source: bn_store::Error,
     },
     /// Content of the data directory cannot be decoded.
-    #[snafu(display("undecodable {what}"))]
+    #[snafu(display("cannot decode {what}"))]
     Decode {
         /// What could not be decoded.
         what: &'static str,
--- a/crates/coordinator/src/members.rs
+++ b/crates/coordinator/src/members.rs
@@ -11,67 +11,73 @@
 
 /// Number of coordinators reported by others that are remembered, the latest ones: at most 15 are
 /// set aside.
-const MOST_HEARD_OF: usize = 32;
+const MAX_KNOWN_COORDINATORS: usize = 32;
 
 impl Core {
-    pub(crate) fn on_join_ask(&mut self, from: SocketAddr, ask: &wire::JoinAsk) {
-        let handed = !ask.inbox.is_empty();
-        let inbox = if handed { ask.inbox.parse() } else { Ok(from) };
+    pub(crate) fn on_join_request(&mut self, from: SocketAddr, request: &wire::JoinAsk) {
+        let forwarded = !request.inbox.is_empty();
+        let inbox = if forwarded {
+            request.inbox.parse()
+        } else {
+            Ok(from)
+        };
         let Ok(inbox) = inbox else {
-            return log::warn!("an ask to be a member names no address: {}", ask.inbox);
+            return log::warn!("join request without a valid address: {}", request.inbox);
         };
-        let ask = JoinRequest {
+        let request = JoinRequest {
             id: inbox.ip().to_string(),
             address: inbox.to_string(),
-            identity: ask.identity,
-            forwarded: handed,
+            identity: request.identity,
+            forwarded,
         };
-        if let Some((leader, ask)) = self.members.on_join_request(&self.quorum, ask)
+        if let Some((leader, request)) = self.members.on_join_request(&self.quorum, request)
             && let Ok(ip) = leader.parse()
         {
-            let ask = wire::JoinAsk {
-                identity: ask.identity,
-                inbox: ask.address,
+            let request = wire::JoinAsk {
+                identity: request.identity,
+                inbox: request.address,
             };
             let to = SocketAddr::new(ip, self.inbox.port());
-            self.net.send(to, Body::JoinAsk(ask));
+            self.net.send(to, Body::JoinAsk(request));
         }
     }
 
     /// Records the coordinators that another one reports. A coordinator with an empty disk knows
     /// only three from its settings, and all of these may be absent.
-    pub(crate) fn note_coordinators(&mut self, named: &[String]) {
-        for inbox in named.iter().filter_map(|a| a.parse().ok()) {
-            if self.heard_of.insert(inbox) && self.heard_of.len() > MOST_HEARD_OF {
-                self.heard_of.shift_remove_index(0);
+    pub(crate) fn record_coordinators(&mut self, reported: &[String]) {
+        for inbox in reported.iter().filter_map(|a| a.parse().ok()) {
+            if self.known_coordinators.insert(inbox)
+                && self.known_coordinators.len() > MAX_KNOWN_COORDINATORS
+            {
+                self.known_coordinators.shift_remove_index(0);
             }
         }
     }
 
     /// Sends join requests if no leader is known; as the leader, changes the voters.
-    pub(crate) fn keep_members(&mut self, now: Duration) {
-        let turn = self.members.tick(now, &mut self.quorum);
-        if let Some(change) = turn.change {
-            self.note_change(&change);
+    pub(crate) fn update_membership(&mut self, now: Duration) {
+        let output = self.members.tick(now, &mut self.quorum);
+        if let Some(change) = output.change {
+            self.log_change(&change);
         }
-        self.note_voting();
-        let Some(ask) = turn.join_request else {
+        self.log_voting();
+        let Some(request) = output.join_request else {
             return;
         };
-        let ask = wire::JoinAsk {
-            identity: ask.identity,
+        let request = wire::JoinAsk {
+            identity: request.identity,
             ..wire::JoinAsk::default()
         };
         let mut known: IndexSet<SocketAddr> = self.others().into_iter().collect();
-        known.extend(self.heard_of.iter().filter(|a| **a != self.inbox));
+        known.extend(self.known_coordinators.iter().filter(|a| **a != self.inbox));
         for inbox in known {
-            self.net.send(inbox, Body::JoinAsk(ask.clone()));
+            self.net.send(inbox, Body::JoinAsk(request.clone()));
         }
     }
 
     /// A log with fewer voters than coordinators tolerates fewer losses: operators are shown which
     /// ones do not vote.
-    fn note_voting(&mut self) {
+    fn log_voting(&mut self) {
         let members = self.quorum.members();
         let me = members.get(self.quorum.id());
         let votes = self.quorum.is_member() && me.is_some_and(|m| m.voter);
@@ -88,27 +94,27 @@
     /// The members of the log as this coordinator knows them, and whether that is current.
     pub(crate) fn show_members(&self) -> String {
         let members = self.quorum.members().iter();
-        let named = members.map(|(id, m)| json!({ "id": id, "votes": m.voter }));
+        let rows = members.map(|(id, m)| json!({ "id": id, "votes": m.voter }));
         json!({
-            "members": named.collect::<Vec<_>>(), "leader": self.quorum.leader(),
-            "term": self.quorum.term(), "current": self.current, "version": self.settled.version,
+            "members": rows.collect::<Vec<_>>(), "leader": self.quorum.leader(),
+            "term": self.quorum.term(), "current": self.current, "version": self.committed.version,
         })
         .to_string()
     }
 
-    fn note_change(&self, change: &Change) {
-        let why = |reason: &ChangeReason| match reason {
+    fn log_change(&self, change: &Change) {
+        let reason_name = |reason: &ChangeReason| match reason {
             ChangeReason::IdentityChanged => "emptied",
             ChangeReason::Absent => "away",
         };
         match change {
             Change::Added(id) => self.lines.put("member_added", json!({ "id": id })),
             Change::Demoted(id, reason) => {
-                let fields = json!({ "id": id, "why": why(reason) });
+                let fields = json!({ "id": id, "why": reason_name(reason) });
                 self.lines.put("member_demoted", fields);
             }
             Change::Removed(id, reason) => {
-                let fields = json!({ "id": id, "why": why(reason) });
+                let fields = json!({ "id": id, "why": reason_name(reason) });
                 self.lines.put("member_removed", fields);
             }
         }
--- a/crates/coordinator/src/pages.rs
+++ b/crates/coordinator/src/pages.rs
@@ -1,6 +1,6 @@
 //! Operator pages of a coordinator, next to its metrics.
 
-use crate::ring::{Event, Ring};
+use crate::events::{Event, EventSender};
 use bn_quarantine::from_text;
 use tokio::sync::oneshot;
 
@@ -15,35 +15,38 @@
 
 /// Answers the coordinator's own pages with status and JSON text. Blocks until the coordinator's
 /// thread answers.
-pub fn pages(ring: Ring) -> impl Fn(&str, &str, &[u8]) -> Option<(u16, String)> {
+pub fn pages(events: EventSender) -> impl Fn(&str, &str, &[u8]) -> Option<(u16, String)> {
     move |method, path, _| {
         if (method, path) == ("GET", MEMBERS) {
-            return Some(show(&ring, Event::Members));
+            return Some(show(&events, Event::Members));
         }
         if (method, path) == ("GET", LIMITS) {
-            return Some(show(&ring, Event::Limits));
+            return Some(show(&events, Event::Limits));
         }
         let rest = path.strip_prefix(QUARANTINE)?;
         match (method, rest.strip_prefix('/')) {
-            ("GET", None) => Some(show(&ring, Event::Cases)),
-            ("DELETE", Some(text)) => Some(pardon(&ring, text)),
+            ("GET", None) => Some(show(&events, Event::Cases)),
+            ("DELETE", Some(text)) => Some(pardon(&events, text)),
             _ => None,
         }
     }
 }
 
-fn show(ring: &Ring, event: impl FnOnce(oneshot::Sender<String>) -> Event) -> (u16, String) {
-    match ask(ring, event) {
+fn show(
+    events: &EventSender,
+    event: impl FnOnce(oneshot::Sender<String>) -> Event,
+) -> (u16, String) {
+    match query_core(events, event) {
         Some(text) => (200, text),
         None => busy(),
     }
 }
 
-fn pardon(ring: &Ring, text: &str) -> (u16, String) {
+fn pardon(events: &EventSender, text: &str) -> (u16, String) {
     let Some(digest) = from_text(text) else {
         return (400, r#"{"error":"that is no digest"}"#.into());
     };
-    match ask(ring, |done| Event::Pardon(digest, done)) {
+    match query_core(events, |done| Event::Pardon(digest, done)) {
         Some(true) => (200, r#"{"closed":true}"#.into()),
         Some(false) => (404, r#"{"closed":false}"#.into()),
         None => busy(),
@@ -54,9 +57,12 @@
     (503, r#"{"error":"too busy"}"#.into())
 }
 
-fn ask<T>(ring: &Ring, event: impl FnOnce(oneshot::Sender<T>) -> Event) -> Option<T> {
+fn query_core<T>(
+    events: &EventSender,
+    event: impl FnOnce(oneshot::Sender<T>) -> Event,
+) -> Option<T> {
     let (done, answer) = oneshot::channel();
-    if !ring.put(event(done)) {
+    if !events.send(event(done)) {
         return None;
     }
     answer.blocking_recv().ok()
--- a/crates/coordinator/src/tell.rs
+++ b/crates/coordinator/src/pushes.rs
@@ -4,7 +4,7 @@
 //! A push per change and gateway would be tens of thousands of messages when the ranks of a large
 //! group report. So changes are batched, and sent to the gateways that subscribe here.
 
-use crate::core::{Core, answered};
+use crate::core::{Core, count_unwanted};
 use bn_registry::{BackendId, Condition, Record};
 use bn_wire::messages::envelope::Body;
 use bn_wire::messages::{self as wire, Registration};
@@ -14,10 +14,10 @@
 
 /// Interval between two pushes of changes that are not urgent to the other coordinators, which
 /// gateways poll in turn.
-const GAP: Duration = Duration::from_millis(50);
+const PUSH_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A caller that waits until a change has been pushed.
-pub(crate) enum Told {
+pub(crate) enum Waiter {
     /// An accepted backend server announced itself.
     Announced(oneshot::Sender<bool>),
     /// A backend server left.
@@ -26,40 +26,40 @@
 
 /// Changes that have not been pushed yet.
 #[derive(Default)]
-pub(crate) struct Untold {
+pub(crate) struct PendingPushes {
     /// Changes for other coordinators.
-    ids: IndexSet<BackendId>,
+    changed: IndexSet<BackendId>,
     /// Backend servers that reported here that they take no more requests: for all gateways.
     leaving: IndexSet<BackendId>,
     /// Some backend servers take no more requests, whoever reported it.
     urgent: bool,
-    waiting: Vec<Told>,
+    waiters: Vec<Waiter>,
     due: Duration,
 }
 
-impl Untold {
+impl PendingPushes {
     /// Adds a change; `own` unless another coordinator sent it.
     pub(crate) fn add(&mut self, record: &Record, own: bool) {
-        self.ids.insert(record.id.clone());
-        let leaves = record.condition != Condition::Ready;
-        self.urgent |= leaves;
-        if leaves && own {
+        self.changed.insert(record.id.clone());
+        let leaving_now = record.condition != Condition::Ready;
+        self.urgent |= leaving_now;
+        if leaving_now && own {
             self.leaving.insert(record.id.clone());
         }
     }
 
     /// Answers `waiter` after the next push of urgent changes.
-    pub(crate) fn once_told(&mut self, told: Told) {
-        self.waiting.push(told);
+    pub(crate) fn answer_after_push(&mut self, waiter: Waiter) {
+        self.waiters.push(waiter);
     }
 
     /// Ids of changes to push to other coordinators now.
-    fn take(&mut self, now: Duration, urgent: bool) -> IndexSet<BackendId> {
-        if self.ids.is_empty() || (!urgent && now < self.due) {
+    fn take_due(&mut self, now: Duration, urgent: bool) -> IndexSet<BackendId> {
+        if self.changed.is_empty() || (!urgent && now < self.due) {
             return IndexSet::new();
         }
-        self.due = now + GAP;
-        std::mem::take(&mut self.ids)
+        self.due = now + PUSH_INTERVAL;
+        std::mem::take(&mut self.changed)
     }
 }
 
@@ -68,23 +68,23 @@
     /// gateways. Then answers those who waited: a backend server that knows its departure is
     /// published stops serving soon, and gateways that do not know of it would go on sending
     /// requests there.
-    pub(crate) fn tell_changes(&mut self, now: Duration) {
-        let urgent = std::mem::take(&mut self.untold.urgent);
-        self.tell_departures();
-        self.tell_subscribers(now, urgent);
-        self.tell_coordinators(now, urgent);
-        for told in std::mem::take(&mut self.untold.waiting) {
-            match told {
-                Told::Announced(done) => answered(done.send(true)),
-                Told::Left(done) => answered(done.send(())),
+    pub(crate) fn push_changes(&mut self, now: Duration) {
+        let urgent = std::mem::take(&mut self.pending_pushes.urgent);
+        self.push_departures();
+        self.push_to_subscribers(now, urgent);
+        self.push_to_coordinators(now, urgent);
+        for waiter in std::mem::take(&mut self.pending_pushes.waiters) {
+            match waiter {
+                Waiter::Announced(done) => count_unwanted(done.send(true)),
+                Waiter::Left(done) => count_unwanted(done.send(())),
             }
         }
     }
 
     /// Pushes departures to gateways that subscribe to other coordinators. Those that subscribe
     /// here get them with all other changes.
-    fn tell_departures(&mut self) {
-        let ids = std::mem::take(&mut self.untold.leaving);
+    fn push_departures(&mut self) {
+        let ids = std::mem::take(&mut self.pending_pushes.leaving);
         let leaving: Vec<Registration> = ids
             .iter()
             .filter_map(|id| self.registry.get(id))
@@ -93,46 +93,46 @@
         if leaving.is_empty() {
             return;
         }
-        let news = self.pushed(leaving);
+        let update = self.update_with(leaving);
         let gateways = self.directory.inboxes();
-        for inbox in gateways.filter(|g| !self.subscribers.has(*g)) {
-            self.net.send(inbox, Body::News(news.clone()));
+        for inbox in gateways.filter(|g| !self.subscribers.contains(*g)) {
+            self.net.send(inbox, Body::News(update.clone()));
         }
     }
 
-    fn tell_subscribers(&mut self, now: Duration, urgent: bool) {
-        let mark = self.registry.cursor();
-        for (after, inboxes) in self.subscribers.behind(now, mark, urgent) {
+    fn push_to_subscribers(&mut self, now: Duration, urgent: bool) {
+        let cursor = self.registry.cursor();
+        for (after, inboxes) in self.subscribers.take_behind(now, cursor, urgent) {
             let changed = self.registry.changed_since(after);
             let changed = changed.iter().map(Registration::from).collect();
-            let news = wire::News {
-                mark,
+            let update = wire::News {
+                mark: cursor,
                 after,
-                ..self.pushed(changed)
+                ..self.update_with(changed)
             };
             for inbox in inboxes {
-                self.net.send(inbox, Body::News(news.clone()));
+                self.net.send(inbox, Body::News(update.clone()));
             }
         }
     }
 
-    fn tell_coordinators(&mut self, now: Duration, urgent: bool) {
-        let ids = self.untold.take(now, urgent);
+    fn push_to_coordinators(&mut self, now: Duration, urgent: bool) {
+        let ids = self.pending_pushes.take_due(now, urgent);
         let records = ids.iter().filter_map(|id| self.registry.get(id));
         let changed: Vec<Registration> = records.map(Registration::from).collect();
         if changed.is_empty() {
             return;
         }
-        let news = self.pushed(changed);
+        let update = self.update_with(changed);
         for inbox in self.others() {
-            self.net.send(inbox, Body::News(news.clone()));
+            self.net.send(inbox, Body::News(update.clone()));
         }
     }
 
-    fn pushed(&mut self, changed: Vec<Registration>) -> wire::News {
+    fn update_with(&mut self, changed: Vec<Registration>) -> wire::News {
         wire::News {
             changed,
-            ..self.plain_news()
+            ..self.base_update()
         }
     }
 }
--- a/crates/coordinator/src/reads.rs
+++ b/crates/coordinator/src/reads.rs
@@ -4,7 +4,7 @@
 //! for the newest version and answer once they have that. No lease is trusted for this: a suspended
 //! process finds its lease unexpired by a clock that was stopped.
 
-use crate::core::{Core, answered};
+use crate::core::{Core, count_unwanted};
 use bn_wire::messages::envelope::Body;
 use bn_wire::messages::{self as wire};
 use std::net::SocketAddr;
@@ -12,11 +12,11 @@
 use tokio::sync::oneshot;
 
 /// How long a read waits; operators try another coordinator after a second.
-const PATIENCE: Duration = Duration::from_millis(800);
+const READ_TIMEOUT: Duration = Duration::from_millis(800);
 /// Interval between two requests to the leader.
-const ASK_GAP: Duration = Duration::from_millis(250);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(250);
 
-enum Asker {
+enum Requester {
     Operator(oneshot::Sender<Option<Vec<u8>>>),
     Peer(SocketAddr, u64),
 }
@@ -32,42 +32,47 @@
     Version(u64),
 }
 
-struct Read {
+struct PendingRead {
     call: u64,
-    asker: Option<Asker>,
+    requester: Option<Requester>,
     stage: Stage,
-    until: Duration,
-    next: Duration,
+    deadline: Duration,
+    next_try: Duration,
 }
 
 /// Pending reads.
 #[derive(Default)]
 pub(crate) struct Reads {
-    list: Vec<Read>,
+    pending: Vec<PendingRead>,
 }
 
 impl Core {
     pub(crate) fn on_read(&mut self, now: Duration, done: oneshot::Sender<Option<Vec<u8>>>) {
-        self.queue_read(now, Asker::Operator(done));
+        self.queue_read(now, Requester::Operator(done));
     }
 
-    pub(crate) fn on_read_ask(&mut self, now: Duration, inbox: SocketAddr, ask: &wire::ReadAsk) {
-        self.queue_read(now, Asker::Peer(inbox, ask.call));
+    pub(crate) fn on_read_request(
+        &mut self,
+        now: Duration,
+        inbox: SocketAddr,
+        request: &wire::ReadAsk,
+    ) {
+        self.queue_read(now, Requester::Peer(inbox, request.call));
     }
 
-    fn queue_read(&mut self, now: Duration, asker: Asker) {
-        let call = self.next_call();
-        self.reads.list.push(Read {
+    fn queue_read(&mut self, now: Duration, requester: Requester) {
+        let call = self.next_call_id();
+        self.reads.pending.push(PendingRead {
             call,
-            asker: Some(asker),
+            requester: Some(requester),
             stage: Stage::Idle,
-            until: now + PATIENCE,
-            next: now,
+            deadline: now + READ_TIMEOUT,
+            next_try: now,
         });
     }
 
-    pub(crate) fn on_read_answer(&mut self, answer: &wire::ReadAnswer) {
-        let mut waiting = self.reads.list.iter_mut();
+    pub(crate) fn on_read_response(&mut self, answer: &wire::ReadAnswer) {
+        let mut waiting = self.reads.pending.iter_mut();
         if let Some(read) = waiting.find(|r| r.call == answer.call)
             && answer.sure
         {
@@ -77,58 +82,58 @@
 
     /// Advances every read, and answers those that are confirmed or timed out.
     pub(crate) fn answer_reads(&mut self, now: Duration) {
-        let mut list = std::mem::take(&mut self.reads.list);
+        let mut list = std::mem::take(&mut self.reads.pending);
         for read in &mut list {
-            self.move_on(now, read);
+            self.advance(now, read);
         }
-        let held = self.settled.version;
-        let sure = |r: &Read| matches!(r.stage, Stage::Version(v) if held >= v);
-        let (ended, waiting) = list
+        let version = self.committed.version;
+        let is_confirmed = |r: &PendingRead| matches!(r.stage, Stage::Version(v) if version >= v);
+        let (finished, waiting) = list
             .into_iter()
-            .partition::<Vec<_>, _>(|r| sure(r) || now >= r.until);
-        self.reads.list = waiting;
-        for read in ended {
-            let is_sure = sure(&read);
-            self.answer_read(read, is_sure);
+            .partition::<Vec<_>, _>(|r| is_confirmed(r) || now >= r.deadline);
+        self.reads.pending = waiting;
+        for read in finished {
+            let confirmed = is_confirmed(&read);
+            self.answer_read(read, confirmed);
         }
     }
 
-    fn move_on(&mut self, now: Duration, read: &mut Read) {
+    fn advance(&mut self, now: Duration, read: &mut PendingRead) {
         if let Stage::Round(term, round) = read.stage {
             if self.quorum.term() != term {
                 read.stage = Stage::Idle;
             } else if self.quorum.confirmed_round() >= round {
-                read.stage = Stage::Version(self.settled.version);
+                read.stage = Stage::Version(self.committed.version);
             }
         }
-        if read.stage != Stage::Idle || now < read.next {
+        if read.stage != Stage::Idle || now < read.next_try {
             return;
         }
-        read.next = now + ASK_GAP;
+        read.next_try = now + REQUEST_INTERVAL;
         if let Some(round) = self.quorum.start_round(now) {
             read.stage = Stage::Round(self.quorum.term(), round);
             return;
         }
         let leader = self.quorum.leader().and_then(|l| l.parse().ok());
-        let local = matches!(read.asker, Some(Asker::Operator(_)));
+        let local = matches!(read.requester, Some(Requester::Operator(_)));
         if let Some(ip) = leader.filter(|_| local) {
             let inbox = SocketAddr::new(ip, self.inbox.port());
-            let ask = wire::ReadAsk { call: read.call };
-            self.net.send(inbox, Body::ReadAsk(ask));
+            let request = wire::ReadAsk { call: read.call };
+            self.net.send(inbox, Body::ReadAsk(request));
         }
     }
 
-    fn answer_read(&mut self, mut read: Read, sure: bool) {
-        let version = self.settled.version;
-        match read.asker.take() {
-            Some(Asker::Operator(done)) => {
-                let document = (sure && version > 0).then(|| self.settled.document.clone());
-                answered(done.send(document));
+    fn answer_read(&mut self, mut read: PendingRead, confirmed: bool) {
+        let version = self.committed.version;
+        match read.requester.take() {
+            Some(Requester::Operator(done)) => {
+                let document = (confirmed && version > 0).then(|| self.committed.document.clone());
+                count_unwanted(done.send(document));
             }
-            Some(Asker::Peer(inbox, call)) => {
+            Some(Requester::Peer(inbox, call)) => {
                 let answer = wire::ReadAnswer {
                     call,
-                    sure,
+                    sure: confirmed,
                     version,
                 };
                 self.net.send(inbox, Body::ReadAnswer(answer));
--- a/crates/coordinator/src/relays.rs
+++ b/crates/coordinator/src/relays.rs
@@ -18,35 +18,35 @@
 /// A relay that forwards requests gives up on the others after 150 ms; the rest is for a busy
 /// leader: one that considers relays dead too early calls their engines itself, and gets busier
 /// still. Requests to relays keep no group waiting.
-const TIMEOUT: Duration = Duration::from_millis(600);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(600);
 /// Timeout of orders around a hold: the group may be stalled until the next attempt, and a relay
 /// that forwards them has given up on the others by then.
-const HELD_TIMEOUT: Duration = Duration::from_millis(250);
+const HOLD_TIMEOUT: Duration = Duration::from_millis(250);
 /// Timeout of polls that wait for copies: 400 ms more.
 const COPY_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Up to this many simultaneous requests are not forwarded.
-const FEW: usize = 3;
+const MAX_UNFORWARDED: usize = 3;
 /// Bytes that a relay forwards at once: 20 ms on the slowest links (6 Mbit/s).
-const PASSED_ON: usize = 16 << 10;
+const MAX_FORWARDED_BYTES: usize = 16 << 10;
 /// Approximate number of ranks of a group that report counts: at 500 requests a second some 10,000
 /// tokens per poll.
-const COUNTED: usize = 48;
+const COUNT_SAMPLE: usize = 48;
 /// First time for which a relay that did not answer is skipped; it doubles with each further
 /// failure in a row. One that is dead or cut off is still detected soon enough. If many are silent
 /// at once, the leader itself was probably delayed or its links are new: a new leader that skipped
 /// all of them would call every engine itself, and a group that is still held would be stalled
 /// meanwhile.
-const FIRST_PASS: Duration = Duration::from_millis(600);
+const MIN_SKIP_TIME: Duration = Duration::from_millis(600);
 /// Longest time for which a relay is skipped: a restart takes a second or two, a cut somewhat more.
-const LONGEST_PASS: Duration = Duration::from_secs(4);
+const MAX_SKIP_TIME: Duration = Duration::from_secs(4);
 
 /// A relay that responded over its own link within this time is connected, as far as can be known:
 /// groups are polled every 0.15 s, and through the same relays each time.
-const STANDING: Duration = Duration::from_secs(2);
+const CONNECTED_TIME: Duration = Duration::from_secs(2);
 
 /// Kind of a request to a relay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum About {
+pub enum RequestKind {
     /// A poll of the engine.
     Look,
     /// A poll that is answered once copies are complete.
@@ -68,7 +68,7 @@
 
 /// A request without a response so far.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct PendingRequest {
     /// Group that the call belongs to.
     pub group: GroupId,
     /// Id of the call.
@@ -76,184 +76,193 @@
     /// Inbox of the relay next to the engine.
     pub relay: SocketAddr,
     /// Inbox of the relay that was asked to forward it, or the same.
-    pub head: SocketAddr,
+    pub forwarder: SocketAddr,
     /// Its kind.
-    pub about: About,
-    due: Duration,
+    pub kind: RequestKind,
+    deadline: Duration,
 }
 
 /// Pending requests to relays, and the relays that are skipped.
 #[derive(Debug, Default)]
 pub struct Relays {
-    asks: IndexMap<u64, Ask>,
-    silent: IndexMap<IpAddr, Silence>,
+    requests: IndexMap<u64, PendingRequest>,
+    skipped: IndexMap<IpAddr, Skip>,
     /// Last response of relays that were asked directly.
-    heads: IndexMap<SocketAddr, Duration>,
+    last_responses: IndexMap<SocketAddr, Duration>,
 }
 
 /// How long a relay is skipped, and until when.
 #[derive(Debug, Clone, Copy)]
-struct Silence {
+struct Skip {
     time: Duration,
     until: Duration,
 }
 
 impl Relays {
     /// The relay next to an engine, unless it is being skipped.
-    pub fn beside(&self, now: Duration, engine: SocketAddr, port: u16) -> Option<SocketAddr> {
-        let silence = self.silent.get(&engine.ip());
-        let passed_over = silence.is_some_and(|s| now < s.until);
-        (!passed_over).then(|| SocketAddr::new(engine.ip(), port))
+    pub fn relay_of(&self, now: Duration, engine: SocketAddr, port: u16) -> Option<SocketAddr> {
+        let skip = self.skipped.get(&engine.ip());
+        let is_skipped = skip.is_some_and(|s| now < s.until);
+        (!is_skipped).then(|| SocketAddr::new(engine.ip(), port))
     }
 
     /// Records a request with this id that was sent to a relay by way of `forwarder`; `call` is the
     /// id within the group's switch controller.
-    pub fn asked(
+    pub fn record_request(
         &mut self,
         now: Duration,
-        number: u64,
+        id: u64,
         call: (&GroupId, u64),
-        (relay, head): (SocketAddr, SocketAddr),
-        about: About,
+        (relay, forwarder): (SocketAddr, SocketAddr),
+        kind: RequestKind,
     ) {
-        let time = match about {
-            About::Copies => COPY_TIMEOUT,
-            About::Look | About::Order => TIMEOUT,
-            About::Held => HELD_TIMEOUT,
+        let timeout = match kind {
+            RequestKind::Copies => COPY_TIMEOUT,
+            RequestKind::Look | RequestKind::Order => REQUEST_TIMEOUT,
+            RequestKind::Held => HOLD_TIMEOUT,
         };
-        let ask = Ask {
+        let request = PendingRequest {
             group: call.0.clone(),
             call: call.1,
             relay,
-            head,
-            about,
-            due: now + time,
+            forwarder,
+            kind,
+            deadline: now + timeout,
         };
-        self.asks.insert(number, ask);
+        self.requests.insert(id, request);
     }
 
     /// The pending request that a response belongs to.
-    pub fn answered(&mut self, now: Duration, number: u64) -> Option<Ask> {
-        let ask = self.asks.swap_remove(&number)?;
-        self.heads.insert(ask.head, now);
-        Some(ask)
+    pub fn take_request(&mut self, now: Duration, id: u64) -> Option<PendingRequest> {
+        let request = self.requests.swap_remove(&id)?;
+        self.last_responses.insert(request.forwarder, now);
+        Some(request)
     }
 
     /// A connected relay other than `relay`, which can forward a request to it.
-    pub fn standing(&self, now: Duration, relay: SocketAddr) -> Option<SocketAddr> {
-        let silent = |a: &SocketAddr| self.silent.get(&a.ip()).is_some_and(|s| now < s.until);
-        let heard = self.heads.iter();
-        let heard = heard.filter(|(a, at)| **a != relay && now < **at + STANDING && !silent(a));
-        heard.max_by_key(|(_, at)| **at).map(|(a, _)| *a)
+    pub fn connected_relay(&self, now: Duration, relay: SocketAddr) -> Option<SocketAddr> {
+        let skipped = |a: &SocketAddr| self.skipped.get(&a.ip()).is_some_and(|s| now < s.until);
+        let connected = self.last_responses.iter();
+        let connected =
+            connected.filter(|(a, at)| **a != relay && now < **at + CONNECTED_TIME && !skipped(a));
+        connected.max_by_key(|(_, at)| **at).map(|(a, _)| *a)
     }
 
     /// Records that a relay did not answer. Simultaneous requests count once.
-    pub fn pass_over(&mut self, now: Duration, relay: SocketAddr) {
-        let before = self.silent.get(&relay.ip());
+    pub fn record_silence(&mut self, now: Duration, relay: SocketAddr) {
+        let before = self.skipped.get(&relay.ip());
         if before.is_some_and(|s| now < s.until) {
             return;
         }
-        let time = before.map_or(FIRST_PASS, |s| (s.time * 2).min(LONGEST_PASS));
+        let time = before.map_or(MIN_SKIP_TIME, |s| (s.time * 2).min(MAX_SKIP_TIME));
         let until = now + time;
-        self.silent.insert(relay.ip(), Silence { time, until });
+        self.skipped.insert(relay.ip(), Skip { time, until });
     }
 
     /// Records that a relay answered.
-    pub fn heard(&mut self, relay: SocketAddr) {
-        self.silent.swap_remove(&relay.ip());
+    pub fn record_response(&mut self, relay: SocketAddr) {
+        self.skipped.swap_remove(&relay.ip());
     }
 
     /// Removes overdue requests; their relays are skipped from now on.
-    pub fn overdue(&mut self, now: Duration) -> Vec<Ask> {
+    pub fn take_overdue(&mut self, now: Duration) -> Vec<PendingRequest> {
         let due: Vec<u64> = self
-            .asks
+            .requests
             .iter()
-            .filter(|(_, a)| a.due <= now)
+            .filter(|(_, r)| r.deadline <= now)
             .map(|(n, _)| *n)
             .collect();
-        let asks: Vec<Ask> = due
+        let requests: Vec<PendingRequest> = due
             .iter()
-            .filter_map(|n| self.asks.swap_remove(n))
+            .filter_map(|n| self.requests.swap_remove(n))
             .collect();
-        for ask in &asks {
-            self.pass_over(now, ask.head);
+        for request in &requests {
+            self.record_silence(now, request.forwarder);
         }
         // Kept for some time after the next attempt, to tell a repeated failure from a first one.
-        self.silent.retain(|_, s| now < s.until + LONGEST_PASS);
-        self.heads.retain(|_, at| now < *at + STANDING);
-        asks
+        self.skipped.retain(|_, s| now < s.until + MAX_SKIP_TIME);
+        self.last_responses
+            .retain(|_, at| now < *at + CONNECTED_TIME);
+        requests
     }
 }
 
 /// How many of `count` requests are sent to one relay, if it forwards `bytes` with each: about as
 /// many relays get a batch as each forwards to, which gives the fewest messages at the busiest
 /// process; but no more than its link carries in a moment.
-pub fn part(count: usize, bytes: usize) -> usize {
-    let fewest = match count {
-        0..=FEW => 1,
-        many => many.isqrt() + 1,
+pub fn batch_size(count: usize, bytes: usize) -> usize {
+    let size = match count {
+        0..=MAX_UNFORWARDED => 1,
+        count => count.isqrt() + 1,
     };
-    let others = PASSED_ON.checked_div(bytes).unwrap_or(fewest);
-    fewest.min(1 + others)
+    let max_forwarded = MAX_FORWARDED_BYTES.checked_div(bytes).unwrap_or(size);
+    size.min(1 + max_forwarded)
 }
 
 /// Splits requests into batches of at most `size`, each within one failure domain and of about
 /// equal size within it: what relays forward and collect then stays within their domain, where
 /// links are short and are cut off together.
-pub fn parts<T>(asks: Vec<T>, part: usize, domain: impl Fn(&T) -> &str) -> Vec<Vec<T>> {
-    let mut near: IndexMap<String, Vec<T>> = IndexMap::new();
-    for ask in asks {
-        let domain = domain(&ask).to_string();
-        near.entry(domain).or_default().push(ask);
+pub fn batches<T>(requests: Vec<T>, size: usize, domain: impl Fn(&T) -> &str) -> Vec<Vec<T>> {
+    let mut by_domain: IndexMap<String, Vec<T>> = IndexMap::new();
+    for request in requests {
+        let domain = domain(&request).to_string();
+        by_domain.entry(domain).or_default().push(request);
     }
-    near.into_values()
-        .flat_map(|asks| split(asks, part))
+    by_domain
+        .into_values()
+        .flat_map(|requests| split(requests, size))
         .collect()
 }
 
 /// Splits into batches of about equal size, of at most `most`.
-fn split<T>(asks: Vec<T>, part: usize) -> Vec<Vec<T>> {
-    let count = asks.len().div_ceil(part.max(1)).max(1);
-    let size = asks.len().div_ceil(count);
-    let mut rest = asks.into_iter();
-    let parts = (0..count).map(|_| rest.by_ref().take(size).collect::<Vec<T>>());
-    parts.filter(|p| !p.is_empty()).collect()
+fn split<T>(requests: Vec<T>, most: usize) -> Vec<Vec<T>> {
+    let count = requests.len().div_ceil(most.max(1)).max(1);
+    let size = requests.len().div_ceil(count);
+    let mut remaining = requests.into_iter();
+    let batches = (0..count).map(|_| remaining.by_ref().take(size).collect::<Vec<T>>());
+    batches.filter(|p| !p.is_empty()).collect()
 }
 
 /// Whether the poll of one of `count` engines includes counts. Requests are spread over the ranks
 /// regardless of content, so that a sample represents all; counts of 3,840 experts have 4 KB, and
 /// sending those of 13 others to the relay that collects them takes its link 70 ms per poll.
-pub fn is_counted(at: usize, count: usize) -> bool {
-    at.is_multiple_of(count.div_ceil(COUNTED).max(1))
+pub fn reports_counts(index: usize, count: usize) -> bool {
+    index.is_multiple_of(count.div_ceil(COUNT_SAMPLE).max(1))
 }
 
-/// Reply to the switch controller for a response; `counts` came with it.
-pub(crate) fn read(about: About, answer: EngineAnswer, lately: Option<Vec<u64>>) -> Reply {
+/// Reply to the switch controller for a response; `recent_counts` came with it.
+pub(crate) fn decode(
+    kind: RequestKind,
+    answer: EngineAnswer,
+    recent_counts: Option<Vec<u64>>,
+) -> Reply {
     let silent = answer.status == 0;
-    match (about, answer.view) {
+    match (kind, answer.view) {
         _ if silent => Reply::Silent,
-        (About::Order | About::Held, _) => crate::asks::read_status(answer.status),
-        (_, Some(seen)) => Reply::Report(EngineReport {
-            recent_counts: lately,
-            ..view(seen)
+        (RequestKind::Order | RequestKind::Held, _) => {
+            crate::engine_requests::decode_status(answer.status)
+        }
+        (_, Some(view)) => Reply::Report(EngineReport {
+            recent_counts,
+            ..to_report(view)
         }),
         (_, None) => Reply::Odd,
     }
 }
 
-fn view(seen: EngineView) -> EngineReport {
+fn to_report(view: EngineView) -> EngineReport {
     EngineReport {
-        group: seen.group,
-        epoch: seen.epoch,
-        rank: seen.rank,
-        open: seen.open,
-        size: seen.size,
-        pass: seen.pass,
-        map: seen.map,
-        prepared: seen.prepared,
-        armed: seen.armed,
-        held: seen.held,
-        slowdown: seen.pace,
+        group: view.group,
+        epoch: view.epoch,
+        rank: view.rank,
+        open: view.open,
+        size: view.size,
+        pass: view.pass,
+        map: view.map,
+        prepared: view.prepared,
+        armed: view.armed,
+        held: view.held,
+        slowdown: view.pace,
         fresh: true,
         recent_counts: None,
     }
--- a/crates/coordinator/src/supervise.rs
+++ b/crates/coordinator/src/supervise.rs
@@ -2,7 +2,7 @@
 
 use crate::Result;
 use crate::core::Core;
-use crate::ring::{Inlet, Ring};
+use crate::events::{EventReceiver, EventSender};
 use bn_conf::Coordinator as Conf;
 use bn_engine::Calls;
 use bn_net::Net;
@@ -12,10 +12,10 @@
 use std::time::{Duration, Instant};
 
 /// Interval between two attempts to reopen a data directory that failed.
-const DISK_PAUSE: Duration = Duration::from_millis(400);
+const RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
 /// What a core is opened with, at the start and again after its disk failed.
-pub(crate) struct Opening {
+pub(crate) struct CoreArgs {
     pub(crate) inbox: SocketAddr,
     /// Start of the process: state that is kept over a disk failure has times relative to it.
     pub(crate) start: Instant,
@@ -23,31 +23,31 @@
     pub(crate) net: Net,
     pub(crate) lines: Lines,
     pub(crate) calls: Calls,
-    pub(crate) ring: Ring,
+    pub(crate) events: EventSender,
 }
 
 /// Runs the core. A disk that is full or stalled refuses writes for a while: the core then restarts
 /// from what is on disk, as after a restart of the process, but keeps its soft state, so that
 /// backend servers and gateways need not use other coordinators for longer than that.
-pub(crate) fn supervise(mut core: Core, opening: &Opening, inlet: &Inlet) -> Result<()> {
+pub(crate) fn supervise(mut core: Core, args: &CoreArgs, receiver: &EventReceiver) -> Result<()> {
     loop {
-        match core.run(inlet) {
+        match core.run(receiver) {
             Ok(()) => return Ok(()),
             Err(crate::Error::Store { source }) => {
                 let fields = json!({ "why": source.to_string() });
-                opening.lines.put("disk_failed", fields);
+                args.lines.put("disk_failed", fields);
             }
             Err(e) => return Err(e),
         }
         let next = loop {
-            std::thread::sleep(DISK_PAUSE);
+            std::thread::sleep(RETRY_INTERVAL);
             // Dropping the events tells those who wait for an answer that there is none.
-            if inlet.drain() {
+            if receiver.discard_all() {
                 return Ok(());
             }
-            match Core::open(opening) {
+            match Core::open(args) {
                 Ok(next) => break next,
-                Err(e) => log::warn!("the data folder cannot be opened yet: {e}"),
+                Err(e) => log::warn!("cannot reopen the data directory, retrying: {e}"),
             }
         };
         let before = std::mem::replace(&mut core, next);
--- a/crates/coordinator/src/news.rs
+++ b/crates/coordinator/src/updates.rs
@@ -16,39 +16,39 @@
 use std::time::Duration;
 
 /// Interval between two polls of one peer. Pushes carry urgent changes.
-const ASK_GAP: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// A gateway that is still behind after this time gets the document from any coordinator: below its
 /// interval between two polls of the same coordinator, so that the second poll is answered with the
 /// document, and below the two seconds within which a document must be in force.
-const HELP_AFTER: Duration = Duration::from_millis(600);
+const HELP_DELAY: Duration = Duration::from_millis(600);
 /// Time for which the common part of all updates is cached.
-const STANDING: Duration = Duration::from_millis(200);
+const COMMON_TTL: Duration = Duration::from_millis(200);
 /// Unanswered polls after which the link is considered dead: 1.5 s.
-const SILENT_ASKS: u32 = 3;
+const MAX_UNANSWERED: u32 = 3;
 
 /// Progress of the updates from another coordinator.
 #[derive(Debug, Clone, Default)]
 struct Peer {
     source: u64,
-    mark: u64,
-    cases: u64,
+    cursor: u64,
+    cases_cursor: u64,
     unanswered: u32,
 }
 
 /// Gateways that are behind: their version, and since when they have been behind.
 #[derive(Debug, Clone, Default)]
-pub struct Lag(IndexMap<SocketAddr, (u64, Duration)>);
+pub struct GatewayLag(IndexMap<SocketAddr, (u64, Duration)>);
 
-impl Lag {
+impl GatewayLag {
     /// Whether a gateway has been behind for so long that any coordinator should send it the
     /// document. The time counts from when the gateway fell behind: documents in quick succession
     /// are each new, and help would never be due. A gateway without any document gets it at once.
-    pub fn late(&mut self, now: Duration, gateway: SocketAddr, version: u64) -> bool {
+    pub fn needs_help(&mut self, now: Duration, gateway: SocketAddr, version: u64) -> bool {
         let (known, since) = self.0.entry(gateway).or_insert((version, now));
         if *known != version {
             (*known, *since) = (version, now);
         }
-        version == 0 || now >= *since + HELP_AFTER
+        version == 0 || now >= *since + HELP_DELAY
     }
 
     /// Removes a gateway that is up to date or gone.
@@ -60,14 +60,14 @@
 /// All other coordinators by inbox.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Peers {
-    rows: IndexMap<SocketAddr, Peer>,
-    lag: Lag,
+    by_inbox: IndexMap<SocketAddr, Peer>,
+    lag: GatewayLag,
     due: Duration,
     /// Common part of all updates, valid until `common_due`: coordinators and number of gateways.
-    standing: wire::News,
+    common: wire::News,
     /// Gateways that callers are sent to, valid as long.
-    named: GatewaySelection,
-    standing_due: Duration,
+    selection: GatewaySelection,
+    common_due: Duration,
 }
 
 impl Core {
@@ -85,143 +85,147 @@
     /// Pushes the document in force to the gateways assigned to this coordinator. A gateway that
     /// has just started serves from then on, so it also gets the requests that it must not send.
     pub(crate) fn push_document(&mut self) {
-        let news = wire::News {
-            document: self.settled.document.clone(),
-            cases: self.cases.told_since(0, true),
-            ..self.plain_news()
+        let update = wire::News {
+            document: self.committed.document.clone(),
+            cases: self.cases.updates_since(0, true),
+            ..self.base_update()
         };
-        self.push_to_own(&news);
+        self.push_to_assigned(&update);
     }
 
     /// Pushes an update to the gateways assigned to this coordinator.
-    pub(crate) fn push_to_own(&self, news: &wire::News) {
-        for inbox in self.directory.inboxes().filter(|g| self.tells(*g)) {
-            self.net.send(inbox, Body::News(news.clone()));
+    pub(crate) fn push_to_assigned(&self, update: &wire::News) {
+        for inbox in self.directory.inboxes().filter(|g| self.is_assigned(*g)) {
+            self.net.send(inbox, Body::News(update.clone()));
         }
     }
 
     /// Each gateway is assigned to one coordinator: otherwise every document would be sent as often
     /// as there are coordinators. The others step in if a gateway still polls with an older version
     /// some time later.
-    fn tells(&self, gateway: SocketAddr) -> bool {
+    fn is_assigned(&self, gateway: SocketAddr) -> bool {
         let mut all = self.others();
         all.push(self.inbox);
         all.sort_unstable();
         let IpAddr::V4(ip) = gateway.ip() else {
             return true;
         };
-        let turn = u32::from(ip) as usize % all.len().max(1);
-        all.get(turn) == Some(&self.inbox)
+        let index = u32::from(ip) as usize % all.len().max(1);
+        all.get(index) == Some(&self.inbox)
     }
 
     /// Builds the common part of all updates. It is cached: coordinators and gateways change
     /// seldom, and some hundred polls a second are answered with it.
-    pub(crate) fn plain_news(&mut self) -> wire::News {
+    pub(crate) fn base_update(&mut self) -> wire::News {
         let now = self.now();
-        if now >= self.peers.standing_due {
-            self.peers.standing_due = now + STANDING;
-            self.peers.named = self.directory.select(now);
+        if now >= self.peers.common_due {
+            self.peers.common_due = now + COMMON_TTL;
+            self.peers.selection = self.directory.select(now);
             let others = self.others();
             let all = others.iter().chain([&self.inbox]);
-            self.peers.standing = wire::News {
+            self.peers.common = wire::News {
                 coordinators: all.map(ToString::to_string).collect(),
                 gateways: self.directory.sharing_count(now) as u32,
                 ..wire::News::default()
             };
         }
         wire::News {
-            version: self.settled.version,
+            version: self.committed.version,
             current: self.current,
-            ..self.peers.standing.clone()
+            ..self.peers.common.clone()
         }
     }
 
-    pub(crate) fn on_news_ask(&mut self, now: Duration, inbox: SocketAddr, ask: &wire::NewsAsk) {
-        if ask.unheard {
+    pub(crate) fn on_poll(&mut self, now: Duration, inbox: SocketAddr, poll: &wire::NewsAsk) {
+        if poll.unheard {
             self.net.forget(inbox);
         }
-        if let Ok(callers) = ask.callers.parse() {
+        if let Ok(callers) = poll.callers.parse() {
             let gateway = Gateway {
                 callers,
-                domain: ask.domain.clone(),
-                ready: ask.ready,
-                rate: ask.rate,
+                domain: poll.domain.clone(),
+                ready: poll.ready,
+                rate: poll.rate,
             };
-            let stops = !gateway.ready;
+            let stopping = !gateway.ready;
             self.directory.update(now, inbox, gateway);
-            if stops {
+            if stopping {
                 // Callers must not be sent there any more.
-                self.peers.standing_due = now;
+                self.peers.common_due = now;
             }
         }
-        let (mark, known) = match ask.source == self.net.incarnation() {
-            true => (ask.mark, ask.cases),
+        let (cursor, known_cases) = match poll.source == self.net.incarnation() {
+            true => (poll.mark, poll.cases),
             false => (0, 0),
         };
-        let is_gateway = !ask.callers.is_empty();
-        let behind = is_gateway && ask.version < self.settled.version;
-        let late = behind && self.peers.lag.late(now, inbox, ask.version);
+        let is_gateway = !poll.callers.is_empty();
+        let behind = is_gateway && poll.version < self.committed.version;
+        let overdue = behind && self.peers.lag.needs_help(now, inbox, poll.version);
         if !behind {
             self.peers.lag.clear(inbox);
         }
         // A gateway without a document only accepts one that is known to be the newest.
-        let takes = ask.version > 0 || self.current;
-        let document = match behind && takes && (late || self.tells(inbox)) {
-            true => self.settled.document.clone(),
+        let accepts = poll.version > 0 || self.current;
+        let document = match behind && accepts && (overdue || self.is_assigned(inbox)) {
+            true => self.committed.document.clone(),
             false => Vec::new(),
         };
-        let changed = match ask.brief {
+        let changed = match poll.brief {
             true => Vec::new(),
-            false => self.registry.changed_since(mark),
+            false => self.registry.changed_since(cursor),
         };
-        match (is_gateway, ask.brief) {
-            (true, true) => self.subscribers.drop(inbox),
-            (true, false) => self.subscribers.told(inbox, self.registry.cursor()),
+        match (is_gateway, poll.brief) {
+            (true, true) => self.subscribers.remove(inbox),
+            (true, false) => self.subscribers.record_sent(inbox, self.registry.cursor()),
             (false, _) => {}
         }
-        let plain = self.plain_news();
-        let named = match is_gateway && ask.named != self.peers.named.checksum() {
-            true => self.peers.named.gateways(),
+        let base = self.base_update();
+        let gateways = match is_gateway && poll.named != self.peers.selection.checksum() {
+            true => self.peers.selection.gateways(),
             false => &[],
         };
-        let news = wire::News {
+        let update = wire::News {
             document,
-            named: named.iter().map(Into::into).collect(),
-            mark: if ask.brief { 0 } else { self.registry.cursor() },
-            after: mark,
+            named: gateways.iter().map(Into::into).collect(),
+            mark: if poll.brief {
+                0
+            } else {
+                self.registry.cursor()
+            },
+            after: cursor,
             changed: changed.iter().map(Registration::from).collect(),
-            cases: self.cases.told_since(known, is_gateway),
+            cases: self.cases.updates_since(known_cases, is_gateway),
             cases_mark: self.cases.table.cursor(),
-            ..plain
+            ..base
         };
-        self.net.send(inbox, Body::News(news));
+        self.net.send(inbox, Body::News(update));
     }
 
     /// Merges registrations from another coordinator; documents arrive through the log only.
-    pub(crate) fn on_news(
+    pub(crate) fn on_update(
         &mut self,
         now: Duration,
         inbox: SocketAddr,
         incarnation: u64,
-        news: wire::News,
+        update: wire::News,
     ) {
-        self.note_coordinators(&news.coordinators);
-        let peer = self.peers.rows.entry(inbox).or_default();
+        self.record_coordinators(&update.coordinators);
+        let peer = self.peers.by_inbox.entry(inbox).or_default();
         peer.unanswered = 0;
         // A push has no cursor: it does not say up to where registrations are known.
-        if news.mark > 0 {
+        if update.mark > 0 {
             if peer.source != incarnation {
                 // Another incarnation counts its changes anew.
-                peer.cases = 0;
+                peer.cases_cursor = 0;
             }
             peer.source = incarnation;
-            peer.mark = news.mark;
+            peer.cursor = update.mark;
         }
-        if news.cases_mark > 0 {
-            peer.cases = news.cases_mark;
+        if update.cases_mark > 0 {
+            peer.cases_cursor = update.cases_mark;
         }
-        self.take_cases(now, inbox, news.cases);
-        for raw in news.changed {
+        self.merge_cases(now, inbox, update.cases);
+        for raw in update.changed {
             let Ok(record) = Record::try_from(raw) else {
                 metrics::counter!("registrations_undecodable_total").increment(1);
                 continue;
@@ -232,47 +236,47 @@
             // Departures are passed on at once: the coordinator that received it may be cut off
             // from gateways that this one reaches.
             if gone {
-                self.spread(&id, change, Source::Coordinator);
+                self.publish_change(&id, change, Source::Coordinator);
             }
         }
     }
 
     /// Polls every other coordinator for updates, and evicts expired gateways and registrations.
-    pub(crate) fn ask_peers(&mut self, now: Duration) {
+    pub(crate) fn poll_peers(&mut self, now: Duration) {
         if now < self.peers.due {
             return;
         }
-        self.peers.due = now + ASK_GAP;
+        self.peers.due = now + POLL_INTERVAL;
         for inbox in self.others() {
-            let peer = self.peers.rows.entry(inbox).or_default();
-            let unheard = peer.unanswered >= SILENT_ASKS;
-            if unheard && peer.unanswered.is_multiple_of(SILENT_ASKS) {
+            let peer = self.peers.by_inbox.entry(inbox).or_default();
+            let lost = peer.unanswered >= MAX_UNANSWERED;
+            if lost && peer.unanswered.is_multiple_of(MAX_UNANSWERED) {
                 self.net.forget(inbox);
             }
-            if peer.unanswered == SILENT_ASKS {
+            if peer.unanswered == MAX_UNANSWERED {
                 let fields = json!({ "peer": inbox, "unanswered": peer.unanswered });
                 self.lines.put("peer_lost", fields);
             }
             peer.unanswered += 1;
-            let ask = wire::NewsAsk {
+            let poll = wire::NewsAsk {
                 source: peer.source,
-                mark: peer.mark,
-                cases: peer.cases,
-                unheard,
+                mark: peer.cursor,
+                cases: peer.cases_cursor,
+                unheard: lost,
                 ..wire::NewsAsk::default()
             };
-            self.net.send(inbox, Body::NewsAsk(ask));
+            self.net.send(inbox, Body::NewsAsk(poll));
         }
         for gone in self.directory.evict_expired(now) {
             self.net.forget(gone);
             self.peers.lag.clear(gone);
-            self.subscribers.drop(gone);
+            self.subscribers.remove(gone);
             self.lines.put("gateway_lost", json!({ "inbox": gone }));
         }
-        let forgotten = self.registry.evict_expired(now);
-        if forgotten > 0 {
+        let evicted = self.registry.evict_expired(now);
+        if evicted > 0 {
             self.lines
-                .put("backend_servers_forgotten", json!({ "count": forgotten }));
+                .put("backend_servers_forgotten", json!({ "count": evicted }));
         }
     }
 }
--- a/crates/coordinator/tests/ring.rs
+++ b/crates/coordinator/tests/ring.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
-use bn_coordinator::{Event, ring};
+use bn_coordinator::{Event, event_queue};
 use bn_wire::messages::envelope::Body;
 use bn_wire::messages::{self as wire, Envelope};
 use googletest::prelude::*;
@@ -20,7 +20,7 @@
     message(Body::Quorum(wire::Quorum::default()))
 }
 
-fn ask_for_news() -> Event {
+fn poll() -> Event {
     message(Body::NewsAsk(wire::NewsAsk::default()))
 }
 
@@ -28,34 +28,34 @@
 /// and thousands of polls arrive before the next heartbeat: events were handled in order of
 /// arrival.
 #[googletest::test]
-fn a_flood_of_asks_does_not_hold_a_heartbeat_up() {
-    let (ring, inlet) = ring();
+fn a_flood_of_polls_does_not_delay_a_heartbeat() {
+    let (sender, receiver) = event_queue();
     for _ in 0..5_000 {
-        ring.put(ask_for_news());
+        sender.send(poll());
     }
 
-    let taken = ring.put(heartbeat());
+    let queued = sender.send(heartbeat());
 
-    expect_true!(taken);
-    let first = inlet.first();
+    expect_true!(queued);
+    let first = receiver.next_urgent();
     expect_true!(
         matches!(first, Some(Event::Message(m)) if matches!(m.body, Some(Body::Quorum(_))))
     );
-    expect_true!(inlet.first().is_none());
-    expect_true!(inlet.rest().is_some());
+    expect_true!(receiver.next_urgent().is_none());
+    expect_true!(receiver.next_deferrable().is_some());
 }
 
 /// Failure: backend servers and callers wait for answers that arrive too late. A coordinator that
 /// cannot keep up queued everything, without a limit.
 #[googletest::test]
-fn what_cannot_be_answered_soon_is_turned_away() {
-    let (ring, _inlet) = ring();
-    let announced = |_| {
+fn events_beyond_the_capacity_are_rejected() {
+    let (sender, _receiver) = event_queue();
+    let leave = |_| {
         let (done, _) = oneshot::channel();
-        ring.put(Event::Leave("b".into(), done))
+        sender.send(Event::Leave("b".into(), done))
     };
 
-    let taken = (0..3_000).map(announced).filter(|taken| *taken).count();
+    let queued = (0..3_000).map(leave).filter(|queued| *queued).count();
 
-    expect_that!(taken, all![ge(256), le(2_048)]);
+    expect_that!(queued, all![ge(256), le(2_048)]);
 }
--- a/crates/coordinator/tests/subscribers.rs
+++ b/crates/coordinator/tests/subscribers.rs
@@ -16,14 +16,14 @@
 }
 
 #[googletest::test]
-fn those_that_know_as_much_are_told_the_same_once() {
+fn gateways_with_the_same_cursor_get_the_same_changes_once() {
     let mut subscribers = Subscribers::default();
-    subscribers.told(gateway(1), 3);
-    subscribers.told(gateway(2), 3);
-    subscribers.told(gateway(3), 5);
+    subscribers.record_sent(gateway(1), 3);
+    subscribers.record_sent(gateway(2), 3);
+    subscribers.record_sent(gateway(3), 5);
 
-    let first = subscribers.behind(at(0), 6, false);
-    let again = subscribers.behind(at(1_000), 6, false);
+    let first = subscribers.take_behind(at(0), 6, false);
+    let again = subscribers.take_behind(at(1_000), 6, false);
 
     expect_that!(first.get(&3), some(eq(&vec![gateway(1), gateway(2)])));
     expect_that!(first.get(&5), some(eq(&vec![gateway(3)])));
@@ -32,11 +32,11 @@
 
 /// Guards against a message to each gateway for each of many changes.
 #[googletest::test]
-fn changes_in_quick_succession_are_told_together() {
+fn changes_in_quick_succession_are_batched() {
     let mut subscribers = Subscribers::default();
-    subscribers.told(gateway(1), 0);
+    subscribers.record_sent(gateway(1), 0);
 
-    let pushes = (1..=100).map(|n| subscribers.behind(at(10 * n), n, false).len());
+    let pushes = (1..=100).map(|n| subscribers.take_behind(at(10 * n), n, false).len());
     let pushes: usize = pushes.sum();
 
     expect_that!(pushes, le(6));
@@ -44,25 +44,25 @@
 
 /// Guards against requests to a backend server that leaves, from gateways that learn of it later.
 #[googletest::test]
-fn what_is_urgent_is_told_at_once() {
+fn urgent_changes_are_sent_at_once() {
     let mut subscribers = Subscribers::default();
-    subscribers.told(gateway(1), 0);
-    subscribers.behind(at(0), 1, false);
+    subscribers.record_sent(gateway(1), 0);
+    subscribers.take_behind(at(0), 1, false);
 
-    let soon = subscribers.behind(at(10), 2, false);
-    let urgent = subscribers.behind(at(10), 2, true);
+    let soon = subscribers.take_behind(at(10), 2, false);
+    let urgent = subscribers.take_behind(at(10), 2, true);
 
     expect_true!(soon.is_empty());
     expect_that!(urgent.get(&1), some(eq(&vec![gateway(1)])));
 }
 
 #[googletest::test]
-fn one_that_others_tell_is_told_no_more() {
+fn a_removed_subscriber_gets_no_more_changes() {
     let mut subscribers = Subscribers::default();
-    subscribers.told(gateway(1), 0);
+    subscribers.record_sent(gateway(1), 0);
 
-    subscribers.drop(gateway(1));
+    subscribers.remove(gateway(1));
 
-    expect_false!(subscribers.has(gateway(1)));
-    expect_true!(subscribers.behind(at(0), 9, true).is_empty());
+    expect_false!(subscribers.contains(gateway(1)));
+    expect_true!(subscribers.take_behind(at(0), 9, true).is_empty());
 }
--- a/crates/fleet/src/coordinator.rs
+++ b/crates/fleet/src/coordinator.rs
@@ -59,7 +59,7 @@
     /// What subscribers are to be told now.
     pub(crate) fn push(&mut self, now: Duration) -> Vec<Push> {
         let mark = self.registry.cursor();
-        let behind = self.subscribers.behind(now, mark, false);
+        let behind = self.subscribers.take_behind(now, mark, false);
         let push = |(after, inboxes): (Cursor, Vec<SocketAddr>)| Push {
             inboxes,
             telling: self.telling(after, mark),
@@ -85,7 +85,7 @@
         position: Position,
     ) -> (Telling, Rc<[Record]>) {
         if position.brief {
-            self.subscribers.drop(gateway);
+            self.subscribers.remove(gateway);
             return (self.telling(0, 0), Rc::default());
         }
         // A mark of an earlier start says nothing of this one.
@@ -94,7 +94,7 @@
             false => 0,
         };
         let mark = self.registry.cursor();
-        self.subscribers.told(gateway, mark);
+        self.subscribers.record_sent(gateway, mark);
         let changed = self.registry.changed_since(known);
         (self.telling(known, mark), changed.into())
     }
