--- a/crates/coordinator/src/announcements.rs
+++ b/crates/coordinator/src/announcements.rs
@@ -93,10 +93,7 @@
             Ok(document) => document.services().keys().cloned().collect(),
             Err(e) => {
                 // The document was validated before it was proposed, so this is a bug.
-                log::error!(
-                    "cannot read document version {}: {e}",
-                    self.committed.version
-                );
+                log::error!("cannot read document {}: {e}", self.committed.version);
                 IndexSet::new()
             }
         }
--- a/crates/coordinator/src/groups.rs
+++ b/crates/coordinator/src/groups.rs
@@ -207,19 +207,13 @@
         let bytes = match bn_wire::unpack(&self.committed.document) {
             Ok(bytes) => bytes,
             Err(e) => {
-                return log::error!(
-                    "cannot decompress document version {}: {e}",
-                    self.committed.version
-                );
+                return log::error!("cannot read document {}: {e}", self.committed.version);
             }
         };
         match bn_platform::plan(&bytes) {
             Ok(document) => self.groups.shapes = shapes(&document),
             // The document was validated before it was proposed, so this is a bug.
-            Err(e) => log::error!(
-                "document version {} is invalid: {e}",
-                self.committed.version
-            ),
+            Err(e) => log::error!("document {} is invalid: {e}", self.committed.version),
         }
     }
 
