--- a/crates/coordinator/src/announcements.rs
+++ b/crates/coordinator/src/announcements.rs
@@ -1,5 +1,4 @@
-//! Announcements, departures and limits of backend servers, received here or from other
-//! coordinators.
+//! Announcements, departures and limits of backend servers, from themselves or other coordinators.
 
 use crate::core::{Core, count_unwanted};
 use crate::pushes::Waiter;
@@ -43,25 +42,23 @@
 }
 
 impl Core {
-    /// Merges an announcement and answers whether it was accepted. An announcement for a service
-    /// that no document names is rejected: it must not replace a valid backend server with the same
-    /// id.
+    /// Merges an announcement and answers whether it was accepted. One for a service that no
+    /// document names is rejected: it must not replace a valid backend server with the same id.
     pub(crate) fn on_announce(
         &mut self,
         now: Duration,
         record: Record,
-        done: oneshot::Sender<bool>,
+        reply: oneshot::Sender<bool>,
     ) {
         if !self.may_accept(&record) {
             let fields = json!({ "id": record.id, "service": record.service });
             self.lines.put("announcement_passed_over", fields);
-            return count_unwanted(done.send(false));
+            return count_unwanted(reply.send(false));
         }
         let id = record.id.clone();
         let change = self.registry.merge(now, record);
         self.publish_change(&id, change, Source::Announced);
-        self.pending_pushes
-            .answer_after_push(Waiter::Announced(done));
+        self.pushes.answer_after_push(Waiter::Announced(reply));
     }
 
     /// Whether to accept a backend server by its service. If the newest document is not known, it
@@ -69,7 +66,7 @@
     /// id is registered for another service.
     fn may_accept(&mut self, record: &Record) -> bool {
         let known = self.registry.get(&record.id);
-        let other_service = known.is_some_and(|k| k.service != record.service);
+        let other_service = known.is_some_and(|r| r.service != record.service);
         self.is_served(&record.service) || (!self.current && !other_service)
     }
 
@@ -166,10 +163,10 @@
     }
 
     /// Records that a backend server has left for good.
-    pub(crate) fn on_leave(&mut self, now: Duration, id: &str, done: oneshot::Sender<()>) {
+    pub(crate) fn on_leave(&mut self, now: Duration, id: &str, reply: oneshot::Sender<()>) {
         let change = self.registry.record_departure(now, id);
         self.publish_change(id, change, Source::Left);
-        self.pending_pushes.answer_after_push(Waiter::Left(done));
+        self.pushes.answer_after_push(Waiter::Left(reply));
     }
 
     /// Logs a change of a backend server and queues it for the next push.
@@ -178,8 +175,7 @@
             return;
         };
         self.lines.put("backend_server", log_fields(record, source));
-        self.pending_pushes
-            .add(record, source != Source::Coordinator);
+        self.pushes.add(record, source != Source::Coordinator);
     }
 }
 
--- a/crates/coordinator/src/core.rs
+++ b/crates/coordinator/src/core.rs
@@ -1,7 +1,7 @@
 //! The thread that owns the log, the committed document and the registrations.
 
 use crate::document::{VersionedDocument, decode};
-use crate::durable::{first_members, restored};
+use crate::durable::{initial_members, restored};
 use crate::events::{Event, EventReceiver, EventSender, event_queue};
 use crate::subscribers::Subscribers;
 use crate::supervise::{CoreArgs, supervise};
@@ -30,16 +30,14 @@
 const TICK: Duration = Duration::from_millis(20);
 /// Events handled before one write: group commit.
 const COMMIT_BATCH: usize = 256;
-/// Time spent on deferrable events before the thread returns to consensus: a sixth of the heartbeat
+/// Time for deferrable events before the thread returns to consensus: a sixth of the heartbeat
 /// interval.
 const DEFERRABLE_TIME: Duration = Duration::from_millis(20);
 /// For how long what a leader sent counts as the newest: a leader that lost its majority steps down
-/// within this time, and a coordinator that is cut off sends no document to gateways that have
-/// none.
+/// within this time, and a coordinator that is cut off sends no document to gateways without one.
 const CURRENT_WINDOW: Duration = Duration::from_millis(900);
 
-/// An iteration of the event loop that takes this long was suspended or overloaded: half of the
-/// interval between two polls of a gateway.
+/// An event loop iteration that took this long was delayed: half of a gateway's poll interval.
 const STALL_TIME: Duration = Duration::from_millis(400);
 
 /// State of a coordinator.
@@ -59,13 +57,13 @@
     pub(crate) services: (u64, IndexSet<String>),
     pub(crate) directory: Directory,
     pub(crate) peers: updates::Peers,
-    pub(crate) pending_pushes: pushes::PendingPushes,
+    pub(crate) pushes: pushes::PendingPushes,
     pub(crate) subscribers: Subscribers,
     pub(crate) proposals: proposals::Proposals,
     pub(crate) reads: reads::Reads,
     pub(crate) members: Membership,
     /// Coordinators that others reported.
-    pub(crate) known_coordinators: IndexSet<SocketAddr>,
+    pub(crate) coordinators: IndexSet<SocketAddr>,
     pub(crate) groups: groups::Groups,
     pub(crate) cases: cases::Cases,
     pub(crate) calls: Calls,
@@ -128,9 +126,9 @@
         if empty && conf.first {
             // The initial voters must be on disk: after a restart the settings no longer say that
             // the system is new, and a restarted voter would know no other one.
-            let first = first_members(&seeds);
-            store.snapshot(&(&first).into(), Vec::new())?;
-            loaded.snapshot = Some((&first).into());
+            let initial = initial_members(&seeds);
+            store.snapshot(&(&initial).into(), Vec::new())?;
+            loaded.snapshot = Some((&initial).into());
         }
         lines.put(
             "data_opened",
@@ -172,11 +170,11 @@
             services: Default::default(),
             directory: Directory::default(),
             peers: Default::default(),
-            pending_pushes: Default::default(),
+            pushes: Default::default(),
             subscribers: Default::default(),
             proposals: Default::default(),
             reads: Default::default(),
-            known_coordinators: IndexSet::new(),
+            coordinators: IndexSet::new(),
             members: Membership::new(&inbox.to_string(), conf.losses as usize),
             groups: Default::default(),
             cases: cases::Cases::open(&conf.data),
@@ -193,7 +191,7 @@
         self.directory = before.directory;
         self.cases.inherit(self.now(), before.cases);
         self.seeds = before.seeds;
-        self.known_coordinators = before.known_coordinators;
+        self.coordinators = before.coordinators;
     }
 
     pub(crate) fn run(&mut self, receiver: &EventReceiver) -> Result<()> {
@@ -258,24 +256,22 @@
         let now = self.now();
         match event {
             Event::Message(m) => self.handle_message(now, *m),
-            Event::Announce(record, done) => self.on_announce(now, record, done),
-            Event::Leave(id, done) => self.on_leave(now, &id, done),
-            Event::Propose(document, compressed, done) => {
-                self.on_propose(now, &document, compressed, done)
+            Event::Announce(record, reply) => self.on_announce(now, record, reply),
+            Event::Leave(id, reply) => self.on_leave(now, &id, reply),
+            Event::Propose(document, compressed, reply) => {
+                self.on_propose(now, &document, compressed, reply)
             }
-            Event::ReadDocument(done) => self.on_read(now, done),
-            Event::Cases(done) => count_unwanted(done.send(self.show_cases())),
-            Event::Limits(done) => count_unwanted(done.send(self.show_limits())),
-            Event::Members(done) => count_unwanted(done.send(self.show_members())),
-            Event::Pardon(digest, done) => {
-                count_unwanted(done.send(self.pardon(now, digest)));
+            Event::ReadDocument(reply) => self.on_read(now, reply),
+            Event::Cases(reply) => count_unwanted(reply.send(self.show_cases())),
+            Event::Limits(reply) => count_unwanted(reply.send(self.show_limits())),
+            Event::Members(reply) => count_unwanted(reply.send(self.show_members())),
+            Event::Pardon(digest, reply) => {
+                count_unwanted(reply.send(self.pardon(now, digest)));
             }
-            Event::Resolve(domain, done) => {
-                count_unwanted(done.send(self.directory.select(now).addresses(&domain)));
-            }
-            Event::EngineReplied(group, call, reply) => {
-                self.on_engine_reply(now, &group, call, reply)
+            Event::Resolve(domain, reply) => {
+                count_unwanted(reply.send(self.directory.select(now).addresses(&domain)));
             }
+            Event::EngineReplied(group, call, reply) => self.on_reply(now, &group, call, reply),
             Event::SeedsChanged(seeds) => {
                 self.seeds = inboxes(&seeds, self.inbox.port());
                 self.lines
@@ -357,14 +353,12 @@
         match entry.payload {
             Payload::Empty => {}
             Payload::Members(m) => {
-                let members = m
+                let rows = m
                     .iter()
                     .map(|(id, m)| json!({ "id": id, "voter": m.voter }));
-                let members: Vec<_> = members.collect();
-                self.lines.put(
-                    "members",
-                    json!({ "index": entry.index, "members": members }),
-                );
+                let rows: Vec<_> = rows.collect();
+                self.lines
+                    .put("members", json!({ "index": entry.index, "members": rows }));
             }
             Payload::Command(bytes) => {
                 self.logged_bytes += bytes.len();
@@ -377,8 +371,7 @@
         }
     }
 
-    /// Applies a committed document; one that is not newer than the document in force changes
-    /// nothing.
+    /// Applies a committed document; one not newer than the document in force changes nothing.
     pub(crate) fn adopt(&mut self, committed: VersionedDocument) {
         let older = committed.version <= self.committed.version;
         self.lines.put(
@@ -422,8 +415,7 @@
     }
 }
 
-/// Counts a response whose receiver is gone, such as a closed HTTP request; nothing else follows
-/// from it.
+/// Counts a response whose receiver is gone, such as a closed HTTP request, and does nothing else.
 pub(crate) fn count_unwanted<T>(sent: std::result::Result<(), T>) {
     if sent.is_err() {
         metrics::counter!("answers_unwanted_total").increment(1);
--- a/crates/coordinator/src/durable.rs
+++ b/crates/coordinator/src/durable.rs
@@ -13,7 +13,7 @@
 
 /// Bytes of documents in the log after which a snapshot replaces it: a multiple of the newest
 /// document, the only one that matters. A follower that lags gets that one instead of dozens:
-/// documents with hundreds of routes have some 30 KB compressed, and sending all of them repeatedly
+/// documents with hundreds of routes have about 30 KB compressed, and sending all of them repeatedly
 /// takes the link and the CPU away from everything else.
 const SNAPSHOT_FACTOR: usize = 4;
 const SNAPSHOT_BYTES: usize = 128 << 10;
@@ -53,9 +53,9 @@
             .quorum
             .compact_keeping(self.applied, state, KEPT_ENTRIES)
         {
-            let rest = self.quorum.entries_after(snapshot.index);
-            let rest = rest.iter().map(Into::into).collect();
-            self.store.snapshot(&(&snapshot).into(), rest)?;
+            let remaining = self.quorum.entries_after(snapshot.index);
+            let remaining = remaining.iter().map(Into::into).collect();
+            self.store.snapshot(&(&snapshot).into(), remaining)?;
             self.logged_bytes = 0;
             self.lines
                 .put("snapshot_taken", json!({ "index": snapshot.index }));
@@ -64,7 +64,7 @@
     }
 }
 
-pub(super) fn first_members(seeds: &[SocketAddr]) -> bn_quorum::Snapshot {
+pub(super) fn initial_members(seeds: &[SocketAddr]) -> bn_quorum::Snapshot {
     let member = |inbox: &SocketAddr| {
         let member = Member {
             identity: 0,
--- a/crates/coordinator/src/engine_calls.rs
+++ b/crates/coordinator/src/engine_calls.rs
@@ -1,5 +1,5 @@
-//! Sends the requests of switch controllers to engines and returns the replies: through the relay
-//! next to an engine, in batches that one relay forwards, or directly over HTTP.
+//! Sends the calls of switch controllers to engines and returns the replies: through the relay next
+//! to an engine, in batches that one relay forwards, or directly over HTTP.
 
 use crate::core::Core;
 use crate::engine_requests::relay_request;
@@ -72,8 +72,7 @@
         }
     }
 
-    /// Sends a call by another relay that is connected; the engine's own relay may have no link to
-    /// the leader.
+    /// Sends a call by another relay that is connected; its own may have no link to the leader.
     fn send_by_other_relay(
         &mut self,
         now: Duration,
@@ -172,7 +171,7 @@
         for pending in self.relays.take_overdue(now) {
             self.net.forget(pending.forwarder);
             self.log_silent_relay(pending.forwarder, pending.kind);
-            self.on_engine_reply(now, &pending.group, pending.call, Reply::Silent);
+            self.on_reply(now, &pending.group, pending.call, Reply::Silent);
         }
     }
 
@@ -196,11 +195,10 @@
             } else {
                 self.relays.record_response(pending.relay);
             }
-            // Counts are the sum over all engines of the batch, so they go with any one of the
-            // replies.
+            // Counts are summed over all engines of the batch, so they go with any one reply.
             let recent_counts = answer.view.as_ref().and_then(|_| recent_counts.take());
             let reply = relays::decode(pending.kind, answer, recent_counts);
-            self.on_engine_reply(now, &pending.group, pending.call, reply);
+            self.on_reply(now, &pending.group, pending.call, reply);
         }
     }
 }
--- a/crates/coordinator/src/events.rs
+++ b/crates/coordinator/src/events.rs
@@ -112,13 +112,13 @@
 }
 
 impl EventReceiver {
-    /// Waits for an event, for at most `most`.
-    pub(crate) fn wait(&self, most: Duration) {
+    /// Waits for an event, for at most `timeout`.
+    pub(crate) fn wait(&self, timeout: Duration) {
         let mut select = Select::new();
         select.recv(&self.urgent);
         select.recv(&self.deferrable);
         // In either case the caller checks both queues.
-        let _ = select.ready_timeout(most);
+        let _ = select.ready_timeout(timeout);
         let (urgent, deferrable) = self.longest.get();
         let longest = (
             urgent.max(self.urgent.len()),
--- a/crates/coordinator/src/groups.rs
+++ b/crates/coordinator/src/groups.rs
@@ -92,14 +92,13 @@
             return;
         };
         let mut names = discovery.complete_groups().to_vec();
-        // An incomplete group may be held by its switch controller, which must be able to release
-        // it.
-        let controlled = self
+        // Its switch controller may hold an incomplete group, and must be able to release it.
+        let known = self
             .groups
             .controllers
             .keys()
             .filter(|g| g.service == service);
-        names.extend(controlled.map(|g| g.name.clone()));
+        names.extend(known.map(|g| g.name.clone()));
         names.sort_unstable();
         names.dedup();
         for name in names {
@@ -141,13 +140,7 @@
         calls
     }
 
-    pub(crate) fn on_engine_reply(
-        &mut self,
-        now: Duration,
-        group: &GroupId,
-        call: u64,
-        reply: Reply,
-    ) {
+    pub(crate) fn on_reply(&mut self, now: Duration, group: &GroupId, call: u64, reply: Reply) {
         let failure = match reply {
             Reply::Conflict | Reply::Fenced | Reply::Odd | Reply::Silent => Some(reply.clone()),
             Reply::Done | Reply::Report(_) | Reply::Counts(..) | Reply::List(..) => None,
@@ -206,9 +199,7 @@
         self.groups.version = self.committed.version;
         let bytes = match bn_wire::unpack(&self.committed.document) {
             Ok(bytes) => bytes,
-            Err(e) => {
-                return log::error!("cannot read document {}: {e}", self.committed.version);
-            }
+            Err(e) => return log::error!("cannot read document {}: {e}", self.committed.version),
         };
         match bn_platform::plan(&bytes) {
             Ok(document) => self.groups.shapes = shapes(&document),
--- a/crates/coordinator/src/http.rs
+++ b/crates/coordinator/src/http.rs
@@ -45,11 +45,11 @@
         Call::Resolve { domain } => resolve(events, domain).await,
         Call::Announce { id } => announce(events, &id, &body).await,
         Call::Leave { id } => {
-            let left = query_core(events, |done| Event::Leave(id, done)).await;
+            let left = query(events, |reply| Event::Leave(id, reply)).await;
             ok_or_busy(left.is_some())
         }
         Call::Settle => propose(events, body.to_vec()).await,
-        Call::Read => match query_core(events, Event::ReadDocument).await.flatten() {
+        Call::Read => match query(events, Event::ReadDocument).await.flatten() {
             Some(compressed) => match bn_wire::unpack(&compressed) {
                 Ok(document) => text(200, JSON, document),
                 Err(e) => error_response(500, &format!("the document cannot be unpacked: {e}")),
@@ -60,7 +60,7 @@
 }
 
 async fn resolve(events: &EventSender, domain: String) -> Response<Body> {
-    let addresses = query_core(events, |done| Event::Resolve(domain, done)).await;
+    let addresses = query(events, |reply| Event::Resolve(domain, reply)).await;
     let addresses = addresses.unwrap_or_default();
     if addresses.is_empty() {
         return error_response(503, "no gateway is known");
@@ -71,7 +71,7 @@
 async fn announce(events: &EventSender, id: &str, body: &[u8]) -> Response<Body> {
     match bn_platform::announcement(id, body) {
         Ok(record) => {
-            let accepted = query_core(events, |done| Event::Announce(record, done)).await;
+            let accepted = query(events, |reply| Event::Announce(record, reply)).await;
             match accepted {
                 Some(false) => error_response(400, "there is no such service"),
                 accepted => ok_or_busy(accepted.is_some()),
@@ -97,7 +97,7 @@
         Ok(compressed) => compressed,
         Err(e) => return error_response(500, &format!("the document cannot be packed: {e}")),
     };
-    let committed = query_core(events, |done| Event::Propose(parsed, compressed, done)).await;
+    let committed = query(events, |reply| Event::Propose(parsed, compressed, reply)).await;
     match committed {
         Some(true) => text(200, JSON, "{}"),
         _ => error_response(503, "not settled yet: send it again"),
@@ -105,19 +105,19 @@
 }
 
 /// Sends an event to the core and waits for the answer; `None` if the core is overloaded or gone.
-async fn query_core<T>(
+async fn query<T>(
     events: &EventSender,
     event: impl FnOnce(oneshot::Sender<T>) -> Event,
 ) -> Option<T> {
-    let (done, answer) = oneshot::channel();
-    if !events.send(event(done)) {
+    let (reply, answer) = oneshot::channel();
+    if !events.send(event(reply)) {
         return None;
     }
     answer.await.ok()
 }
 
-fn ok_or_busy(done: bool) -> Response<Body> {
-    match done {
+fn ok_or_busy(accepted: bool) -> Response<Body> {
+    match accepted {
         true => text(200, JSON, "{}"),
         false => error_response(503, "too busy"),
     }
--- a/crates/coordinator/src/members.rs
+++ b/crates/coordinator/src/members.rs
@@ -9,9 +9,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Number of coordinators reported by others that are remembered, the latest ones: at most 15 are
-/// set aside.
-const MAX_KNOWN_COORDINATORS: usize = 32;
+/// Number of reported coordinators that are kept, the latest ones: at most 15 are set aside.
+const MAX_COORDINATORS: usize = 32;
 
 impl Core {
     pub(crate) fn on_join_request(&mut self, from: SocketAddr, request: &wire::JoinAsk) {
@@ -46,10 +45,8 @@
     /// only three from its settings, and all of these may be absent.
     pub(crate) fn record_coordinators(&mut self, reported: &[String]) {
         for inbox in reported.iter().filter_map(|a| a.parse().ok()) {
-            if self.known_coordinators.insert(inbox)
-                && self.known_coordinators.len() > MAX_KNOWN_COORDINATORS
-            {
-                self.known_coordinators.shift_remove_index(0);
+            if self.coordinators.insert(inbox) && self.coordinators.len() > MAX_COORDINATORS {
+                self.coordinators.shift_remove_index(0);
             }
         }
     }
@@ -69,7 +66,7 @@
             ..wire::JoinAsk::default()
         };
         let mut known: IndexSet<SocketAddr> = self.others().into_iter().collect();
-        known.extend(self.known_coordinators.iter().filter(|a| **a != self.inbox));
+        known.extend(self.coordinators.iter().filter(|a| **a != self.inbox));
         for inbox in known {
             self.net.send(inbox, Body::JoinAsk(request.clone()));
         }
--- a/crates/coordinator/src/pages.rs
+++ b/crates/coordinator/src/pages.rs
@@ -4,8 +4,7 @@
 use bn_quarantine::from_text;
 use tokio::sync::oneshot;
 
-/// Page of the requests under which backend servers terminated; `DELETE` of an entry below it
-/// closes its case.
+/// Page of the requests under which backend servers terminated; `DELETE` of one closes its case.
 pub const QUARANTINE: &str = "/v1/quarantine";
 /// Page of the members of the log.
 pub const MEMBERS: &str = "/v1/members";
@@ -13,8 +12,7 @@
 /// Page of the backend servers that set a limit.
 pub const LIMITS: &str = "/v1/limits";
 
-/// Answers the coordinator's own pages with status and JSON text. Blocks until the coordinator's
-/// thread answers.
+/// Answers the coordinator's own pages: status and JSON text. Waits for the coordinator's thread.
 pub fn pages(events: EventSender) -> impl Fn(&str, &str, &[u8]) -> Option<(u16, String)> {
     move |method, path, _| {
         if (method, path) == ("GET", MEMBERS) {
@@ -36,7 +34,7 @@
     events: &EventSender,
     event: impl FnOnce(oneshot::Sender<String>) -> Event,
 ) -> (u16, String) {
-    match query_core(events, event) {
+    match query(events, event) {
         Some(text) => (200, text),
         None => busy(),
     }
@@ -46,7 +44,7 @@
     let Some(digest) = from_text(text) else {
         return (400, r#"{"error":"that is no digest"}"#.into());
     };
-    match query_core(events, |done| Event::Pardon(digest, done)) {
+    match query(events, |reply| Event::Pardon(digest, reply)) {
         Some(true) => (200, r#"{"closed":true}"#.into()),
         Some(false) => (404, r#"{"closed":false}"#.into()),
         None => busy(),
@@ -57,12 +55,9 @@
     (503, r#"{"error":"too busy"}"#.into())
 }
 
-fn query_core<T>(
-    events: &EventSender,
-    event: impl FnOnce(oneshot::Sender<T>) -> Event,
-) -> Option<T> {
-    let (done, answer) = oneshot::channel();
-    if !events.send(event(done)) {
+fn query<T>(events: &EventSender, event: impl FnOnce(oneshot::Sender<T>) -> Event) -> Option<T> {
+    let (reply, answer) = oneshot::channel();
+    if !events.send(event(reply)) {
         return None;
     }
     answer.blocking_recv().ok()
--- a/crates/coordinator/src/proposals.rs
+++ b/crates/coordinator/src/proposals.rs
@@ -47,13 +47,13 @@
         now: Duration,
         validated: &Document,
         document: Vec<u8>,
-        done: oneshot::Sender<bool>,
+        reply: oneshot::Sender<bool>,
     ) {
         let proposed = VersionedDocument {
             version: validated.version(),
             document,
         };
-        self.add_proposal(now, proposed, Requester::Operator(done));
+        self.add_proposal(now, proposed, Requester::Operator(reply));
     }
 
     pub(crate) fn on_document_request(
@@ -100,8 +100,8 @@
     /// nothing and is acknowledged too.
     pub(crate) fn acknowledge_committed(&mut self) {
         let version = self.committed.version;
-        let list = std::mem::take(&mut self.proposals.pending);
-        let (finished, waiting) = list
+        let pending = std::mem::take(&mut self.proposals.pending);
+        let (finished, waiting) = pending
             .into_iter()
             .partition::<Vec<_>, _>(|p| p.proposed.version <= version);
         self.proposals.pending = waiting;
@@ -113,8 +113,8 @@
     /// Appends pending documents or forwards them to the leader, and gives up on those that timed
     /// out. These may still be committed later, so the answer promises nothing.
     pub(crate) fn advance_proposals(&mut self, now: Duration) {
-        let list = std::mem::take(&mut self.proposals.pending);
-        let (late, mut waiting) = list
+        let pending = std::mem::take(&mut self.proposals.pending);
+        let (late, mut waiting) = pending
             .into_iter()
             .partition::<Vec<_>, _>(|p| now >= p.deadline);
         for proposal in late {
@@ -178,7 +178,7 @@
         });
         self.lines.put("document_answered", fields);
         match proposal.requester.take() {
-            Some(Requester::Operator(done)) => count_unwanted(done.send(committed)),
+            Some(Requester::Operator(reply)) => count_unwanted(reply.send(committed)),
             Some(Requester::Peer(inbox, call)) => {
                 let answer = wire::DocumentAnswer {
                     call,
--- a/crates/coordinator/src/pushes.rs
+++ b/crates/coordinator/src/pushes.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Answers `waiter` after the next push of urgent changes.
+    /// Answers `waiter` once the changes so far have been pushed, if they are urgent.
     pub(crate) fn answer_after_push(&mut self, waiter: Waiter) {
         self.waiters.push(waiter);
     }
@@ -69,14 +69,14 @@
     /// published stops serving soon, and gateways that do not know of it would go on sending
     /// requests there.
     pub(crate) fn push_changes(&mut self, now: Duration) {
-        let urgent = std::mem::take(&mut self.pending_pushes.urgent);
+        let urgent = std::mem::take(&mut self.pushes.urgent);
         self.push_departures();
         self.push_to_subscribers(now, urgent);
         self.push_to_coordinators(now, urgent);
-        for waiter in std::mem::take(&mut self.pending_pushes.waiters) {
+        for waiter in std::mem::take(&mut self.pushes.waiters) {
             match waiter {
-                Waiter::Announced(done) => count_unwanted(done.send(true)),
-                Waiter::Left(done) => count_unwanted(done.send(())),
+                Waiter::Announced(reply) => count_unwanted(reply.send(true)),
+                Waiter::Left(reply) => count_unwanted(reply.send(())),
             }
         }
     }
@@ -84,7 +84,7 @@
     /// Pushes departures to gateways that subscribe to other coordinators. Those that subscribe
     /// here get them with all other changes.
     fn push_departures(&mut self) {
-        let ids = std::mem::take(&mut self.pending_pushes.leaving);
+        let ids = std::mem::take(&mut self.pushes.leaving);
         let leaving: Vec<Registration> = ids
             .iter()
             .filter_map(|id| self.registry.get(id))
@@ -117,7 +117,7 @@
     }
 
     fn push_to_coordinators(&mut self, now: Duration, urgent: bool) {
-        let ids = self.pending_pushes.take_due(now, urgent);
+        let ids = self.pushes.take_due(now, urgent);
         let records = ids.iter().filter_map(|id| self.registry.get(id));
         let changed: Vec<Registration> = records.map(Registration::from).collect();
         if changed.is_empty() {
--- a/crates/coordinator/src/reads.rs
+++ b/crates/coordinator/src/reads.rs
@@ -47,8 +47,8 @@
 }
 
 impl Core {
-    pub(crate) fn on_read(&mut self, now: Duration, done: oneshot::Sender<Option<Vec<u8>>>) {
-        self.queue_read(now, Requester::Operator(done));
+    pub(crate) fn on_read(&mut self, now: Duration, reply: oneshot::Sender<Option<Vec<u8>>>) {
+        self.queue_read(now, Requester::Operator(reply));
     }
 
     pub(crate) fn on_read_request(
@@ -82,13 +82,13 @@
 
     /// Advances every read, and answers those that are confirmed or timed out.
     pub(crate) fn answer_reads(&mut self, now: Duration) {
-        let mut list = std::mem::take(&mut self.reads.pending);
-        for read in &mut list {
+        let mut pending = std::mem::take(&mut self.reads.pending);
+        for read in &mut pending {
             self.advance(now, read);
         }
         let version = self.committed.version;
         let is_confirmed = |r: &PendingRead| matches!(r.stage, Stage::Version(v) if version >= v);
-        let (finished, waiting) = list
+        let (finished, waiting) = pending
             .into_iter()
             .partition::<Vec<_>, _>(|r| is_confirmed(r) || now >= r.deadline);
         self.reads.pending = waiting;
@@ -126,9 +126,9 @@
     fn answer_read(&mut self, mut read: PendingRead, confirmed: bool) {
         let version = self.committed.version;
         match read.requester.take() {
-            Some(Requester::Operator(done)) => {
+            Some(Requester::Operator(reply)) => {
                 let document = (confirmed && version > 0).then(|| self.committed.document.clone());
-                count_unwanted(done.send(document));
+                count_unwanted(reply.send(document));
             }
             Some(Requester::Peer(inbox, call)) => {
                 let answer = wire::ReadAnswer {
--- a/crates/coordinator/src/relays.rs
+++ b/crates/coordinator/src/relays.rs
@@ -9,6 +9,7 @@
 //! cut off is detected by a request without a response: its engine is then called directly for a
 //! while.
 
+use crate::engine_requests::decode_status;
 use bn_group::switch_controller::{EngineReport, Reply};
 use bn_wire::messages::{EngineAnswer, EngineView};
 use indexmap::IndexMap;
@@ -27,8 +28,8 @@
 /// Up to this many simultaneous requests are not forwarded.
 const MAX_UNFORWARDED: usize = 3;
 /// Bytes that a relay forwards at once: 20 ms on the slowest links (6 Mbit/s).
-const MAX_FORWARDED_BYTES: usize = 16 << 10;
-/// Approximate number of ranks of a group that report counts: at 500 requests a second some 10,000
+const FORWARD_BYTES: usize = 16 << 10;
+/// Approximate number of ranks of a group that report counts: at 500 requests a second about 10,000
 /// tokens per poll.
 const COUNT_SAMPLE: usize = 48;
 /// First time for which a relay that did not answer is skipped; it doubles with each further
@@ -88,7 +89,7 @@
     requests: IndexMap<u64, PendingRequest>,
     skipped: IndexMap<IpAddr, Skip>,
     /// Last response of relays that were asked directly.
-    last_responses: IndexMap<SocketAddr, Duration>,
+    responses: IndexMap<SocketAddr, Duration>,
 }
 
 /// How long a relay is skipped, and until when.
@@ -135,14 +136,14 @@
     /// The pending request that a response belongs to.
     pub fn take_request(&mut self, now: Duration, id: u64) -> Option<PendingRequest> {
         let request = self.requests.swap_remove(&id)?;
-        self.last_responses.insert(request.forwarder, now);
+        self.responses.insert(request.forwarder, now);
         Some(request)
     }
 
     /// A connected relay other than `relay`, which can forward a request to it.
     pub fn connected_relay(&self, now: Duration, relay: SocketAddr) -> Option<SocketAddr> {
         let skipped = |a: &SocketAddr| self.skipped.get(&a.ip()).is_some_and(|s| now < s.until);
-        let connected = self.last_responses.iter();
+        let connected = self.responses.iter();
         let connected =
             connected.filter(|(a, at)| **a != relay && now < **at + CONNECTED_TIME && !skipped(a));
         connected.max_by_key(|(_, at)| **at).map(|(a, _)| *a)
@@ -181,8 +182,7 @@
         }
         // Kept for some time after the next attempt, to tell a repeated failure from a first one.
         self.skipped.retain(|_, s| now < s.until + MAX_SKIP_TIME);
-        self.last_responses
-            .retain(|_, at| now < *at + CONNECTED_TIME);
+        self.responses.retain(|_, at| now < *at + CONNECTED_TIME);
         requests
     }
 }
@@ -195,7 +195,7 @@
         0..=MAX_UNFORWARDED => 1,
         count => count.isqrt() + 1,
     };
-    let max_forwarded = MAX_FORWARDED_BYTES.checked_div(bytes).unwrap_or(size);
+    let max_forwarded = FORWARD_BYTES.checked_div(bytes).unwrap_or(size);
     size.min(1 + max_forwarded)
 }
 
@@ -214,9 +214,9 @@
         .collect()
 }
 
-/// Splits into batches of about equal size, of at most `most`.
-fn split<T>(requests: Vec<T>, most: usize) -> Vec<Vec<T>> {
-    let count = requests.len().div_ceil(most.max(1)).max(1);
+/// Splits into batches of about equal size, of at most `max_size`.
+fn split<T>(requests: Vec<T>, max_size: usize) -> Vec<Vec<T>> {
+    let count = requests.len().div_ceil(max_size.max(1)).max(1);
     let size = requests.len().div_ceil(count);
     let mut remaining = requests.into_iter();
     let batches = (0..count).map(|_| remaining.by_ref().take(size).collect::<Vec<T>>());
@@ -239,9 +239,7 @@
     let silent = answer.status == 0;
     match (kind, answer.view) {
         _ if silent => Reply::Silent,
-        (RequestKind::Order | RequestKind::Held, _) => {
-            crate::engine_requests::decode_status(answer.status)
-        }
+        (RequestKind::Order | RequestKind::Held, _) => decode_status(answer.status),
         (_, Some(view)) => Reply::Report(EngineReport {
             recent_counts,
             ..to_report(view)
--- a/crates/coordinator/src/supervise.rs
+++ b/crates/coordinator/src/supervise.rs
@@ -41,7 +41,7 @@
         }
         let next = loop {
             std::thread::sleep(RETRY_INTERVAL);
-            // Dropping the events tells those who wait for an answer that there is none.
+            // Dropping the events signals waiting callers that there is no answer.
             if receiver.discard_all() {
                 return Ok(());
             }
--- a/crates/coordinator/tests/ring.rs
+++ b/crates/coordinator/tests/ring.rs
@@ -51,8 +51,8 @@
 fn events_beyond_the_capacity_are_rejected() {
     let (sender, _receiver) = event_queue();
     let leave = |_| {
-        let (done, _) = oneshot::channel();
-        sender.send(Event::Leave("b".into(), done))
+        let (reply, _) = oneshot::channel();
+        sender.send(Event::Leave("b".into(), reply))
     };
 
     let queued = (0..3_000).map(leave).filter(|queued| *queued).count();
