--- a/crates/cli/src/cmd/bench/claim.rs
+++ b/crates/cli/src/cmd/bench/claim.rs
@@ -4,7 +4,7 @@
 use super::table;
 use crate::error::CliResult;
 use bn_claim::{Answer, Holder};
-use bn_trace::usage;
+use bn_trace::process_usage;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 #[derive(clap::Args)]
@@ -21,7 +21,7 @@
         .unwrap_or_default();
     let mut holder = Holder::new(wall - Duration::from_secs(100));
     holder.new_epoch(wall, 1);
-    let before = usage().resident_bytes;
+    let before = process_usage().resident_bytes;
     let start = Instant::now();
     let mut granted = 0;
     for i in 0..args.keys {
@@ -30,7 +30,7 @@
         granted += u64::from(answer == Answer::Granted);
     }
     let seconds = start.elapsed().as_secs_f64();
-    let grown = usage().resident_bytes.saturating_sub(before);
+    let grown = process_usage().resident_bytes.saturating_sub(before);
     let mut t = table(&["keys", "granted", "claims/s", "bytes a key"]);
     t.add_row([
         args.keys.to_string(),
--- a/crates/coordinator/src/carry.rs
+++ b/crates/coordinator/src/carry.rs
@@ -152,7 +152,7 @@
     /// Asks that a relay left unanswered: the pilot asks again, straight this time.
     pub(super) fn drop_overdue(&mut self, now: Duration) {
         for ask in self.relays.overdue(now) {
-            self.net.forget(ask.head);
+            self.net.disconnect(ask.head);
             self.note_silent_relay(ask.head, ask.about);
             self.on_called(now, &ask.group, ask.call, Reply::Silent);
         }
--- a/crates/coordinator/src/cases.rs
+++ b/crates/coordinator/src/cases.rs
@@ -10,7 +10,7 @@
     Case, Digest, End, Standing, Start, Table, Told, Trials, read_digest, to_text,
 };
 use bn_quorum::Role;
-use bn_store::{Disk, Side};
+use bn_store::{AtomicFile, Disk};
 use bn_wire::messages::envelope::Body;
 use bn_wire::messages::{self as wire};
 use indexmap::IndexMap;
@@ -33,7 +33,7 @@
 pub(crate) struct Cases {
     pub(crate) table: Table,
     trials: Trials,
-    side: Side,
+    side: AtomicFile,
     /// Ends that gateways were told of.
     ends: IndexMap<Start, Duration>,
     /// What the disk holds.
@@ -47,7 +47,7 @@
     /// Begins with what the disk holds. What cannot be read is lost, and costs backend servers until it
     /// is known again; that is no reason not to start.
     pub(crate) fn open(data: &Path) -> Cases {
-        let side = Side::new(data, FILE, Disk::default());
+        let side = AtomicFile::new(data, FILE, Disk::default());
         let mut table = Table::default();
         let held = side.read().map_err(|e| e.to_string()).and_then(decode);
         match held {
--- a/crates/coordinator/src/core.rs
+++ b/crates/coordinator/src/core.rs
@@ -11,7 +11,7 @@
 use bn_conf::{Coordinator as Conf, Settings};
 use bn_directory::Directory;
 use bn_engine::Calls;
-use bn_net::{Net, Usage};
+use bn_net::{Net, UsageReporter};
 use bn_quorum::{
     Entry, Membership, Message, Output, Payload, Replica, ReplicaConfig, Role, Timing,
 };
@@ -69,7 +69,7 @@
     pub(crate) calls: Calls,
     pub(crate) relays: relays::Relays,
     pub(crate) ring: Ring,
-    usage: Usage,
+    usage: UsageReporter,
     role: Role,
     /// It knew all that was settled when that was last looked at.
     pub(crate) current: bool,
@@ -88,7 +88,7 @@
     let sink = ring.clone();
     let id = settings.inbox.ip().to_string();
     let put = move |e| sink.put(Event::Message(Box::new(e)));
-    let net = Net::begin(
+    let net = Net::start(
         ProcessRole::Coordinator,
         &id,
         settings.inbox,
@@ -127,14 +127,14 @@
             // The first voters must outlast a restart, at which the settings no longer
             // say that the system is new: else a restarted voter would know nobody.
             let first = first_members(&seeds);
-            store.snapshot(&(&first).into(), Vec::new())?;
+            store.replace_snapshot(&(&first).into(), Vec::new())?;
             loaded.snapshot = Some((&first).into());
         }
         lines.put(
             "data_opened",
             json!({
                 "identity": format!("{identity:016x}"), "empty": empty, "first": conf.first,
-                "entries": loaded.entries.len(), "torn_bytes": loaded.cut_bytes,
+                "entries": loaded.entries.len(), "torn_bytes": loaded.truncated_bytes,
             }),
         );
         let restored = restored(loaded)?;
@@ -181,7 +181,7 @@
             calls: opening.calls.clone(),
             relays: Default::default(),
             ring: opening.ring.clone(),
-            usage: Usage::default(),
+            usage: UsageReporter::default(),
         })
     }
 
@@ -223,7 +223,7 @@
             self.steer_groups(now);
             self.flush()?;
             self.usage
-                .note(now, &self.net, &self.lines, || inlet.waiting());
+                .report_if_due(now, &self.net, &self.lines, || inlet.waiting());
         }
     }
 
--- a/crates/coordinator/src/durable.rs
+++ b/crates/coordinator/src/durable.rs
@@ -5,7 +5,7 @@
 use crate::settled::{Settled, decode, encode};
 use crate::{DecodeSnafu, Result};
 use bn_quorum::{Entry, Member, Output, Restored};
-use bn_store::Loaded;
+use bn_store::LoadedState;
 use bn_wire::messages as wire;
 use serde_json::json;
 use snafu::OptionExt;
@@ -24,7 +24,7 @@
     /// Writes and syncs what the log gave out: only then may anything be answered that rests on it.
     pub(super) fn persist(&mut self, out: &Output) -> Result<()> {
         if let Some(snapshot) = &out.snapshot {
-            self.store.snapshot(&snapshot.into(), Vec::new())?;
+            self.store.replace_snapshot(&snapshot.into(), Vec::new())?;
             self.applied = snapshot.index;
             self.adopt(decode(&snapshot.state)?);
         }
@@ -52,7 +52,7 @@
         if let Some(snapshot) = self.quorum.compact_keeping(self.applied, state, KEPT) {
             let rest = self.quorum.entries_after(snapshot.index);
             let rest = rest.iter().map(Into::into).collect();
-            self.store.snapshot(&(&snapshot).into(), rest)?;
+            self.store.replace_snapshot(&(&snapshot).into(), rest)?;
             self.logged_bytes = 0;
             self.lines
                 .put("snapshot_taken", json!({ "index": snapshot.index }));
@@ -77,7 +77,7 @@
     }
 }
 
-pub(super) fn restored(loaded: Loaded) -> Result<Restored> {
+pub(super) fn restored(loaded: LoadedState) -> Result<Restored> {
     let entries = loaded.entries.into_iter().map(Entry::try_from);
     let entries = entries.collect::<std::result::Result<_, _>>();
     Ok(Restored {
--- a/crates/coordinator/src/groups.rs
+++ b/crates/coordinator/src/groups.rs
@@ -189,7 +189,7 @@
             return;
         }
         self.groups.version = self.settled.version;
-        let document = match bn_wire::unpack(&self.settled.document) {
+        let document = match bn_wire::decompress(&self.settled.document) {
             Ok(document) => document,
             Err(e) => return log::error!("document {}: {e}", self.settled.version),
         };
--- a/crates/coordinator/src/http.rs
+++ b/crates/coordinator/src/http.rs
@@ -3,7 +3,7 @@
 use crate::ring::{Event, Ring};
 use bn_directory::ANSWER_TTL;
 use bn_platform::call::{self, Call};
-use bn_serve::{Body, BodyFault, Bounds, text, whole_body};
+use bn_serve::{Body, BodyError, ConnectionLimits, read_body, text};
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 use serde_json::json;
@@ -33,12 +33,12 @@
     let Some(parsed) = parsed else {
         return fault(404, "there is no such call");
     };
-    let time = Bounds::default().body_time;
-    let body = match whole_body(request.into_body(), LARGEST_BODY, time).await {
+    let time = ConnectionLimits::default().body_timeout;
+    let body = match read_body(request.into_body(), LARGEST_BODY, time).await {
         Ok(body) => body,
-        Err(BodyFault::TooLarge) => return fault(413, "the body is too large"),
-        Err(BodyFault::Slow) => return fault(408, "the body came too slowly"),
-        Err(BodyFault::Broken) => return fault(400, "the body broke off"),
+        Err(BodyError::TooLarge) => return fault(413, "the body is too large"),
+        Err(BodyError::TimedOut) => return fault(408, "the body came too slowly"),
+        Err(BodyError::Broken) => return fault(400, "the body broke off"),
     };
     match parsed {
         Call::Ready => text(200, JSON, "{}"),
@@ -50,7 +50,7 @@
         }
         Call::Settle => settle(ring, body.to_vec()).await,
         Call::Read => match ask(ring, Event::Read).await.flatten() {
-            Some(packed) => match bn_wire::unpack(&packed) {
+            Some(packed) => match bn_wire::decompress(&packed) {
                 Ok(document) => text(200, JSON, document),
                 Err(e) => fault(500, &format!("the document cannot be unpacked: {e}")),
             },
@@ -93,7 +93,7 @@
             return fault(400, &e.to_string());
         }
     };
-    let packed = match bn_wire::pack(&document) {
+    let packed = match bn_wire::compress(&document) {
         Ok(packed) => packed,
         Err(e) => return fault(500, &format!("the document cannot be packed: {e}")),
     };
--- a/crates/coordinator/src/news.rs
+++ b/crates/coordinator/src/news.rs
@@ -140,7 +140,7 @@
 
     pub(crate) fn on_news_ask(&mut self, now: Duration, inbox: SocketAddr, ask: &wire::NewsAsk) {
         if ask.unheard {
-            self.net.forget(inbox);
+            self.net.disconnect(inbox);
         }
         if let Ok(callers) = ask.callers.parse() {
             let gateway = Gateway {
@@ -249,7 +249,7 @@
             let peer = self.peers.rows.entry(inbox).or_default();
             let unheard = peer.unanswered >= SILENT_ASKS;
             if unheard && peer.unanswered.is_multiple_of(SILENT_ASKS) {
-                self.net.forget(inbox);
+                self.net.disconnect(inbox);
             }
             if peer.unanswered == SILENT_ASKS {
                 let fields = json!({ "peer": inbox, "unanswered": peer.unanswered });
@@ -266,7 +266,7 @@
             self.net.send(inbox, Body::NewsAsk(ask));
         }
         for gone in self.directory.evict_expired(now) {
-            self.net.forget(gone);
+            self.net.disconnect(gone);
             self.peers.lag.clear(gone);
             self.subscribers.drop(gone);
             self.lines.put("gateway_lost", json!({ "inbox": gone }));
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -73,7 +73,7 @@
                         let Ok(place) = places.clone().acquire_owned().await else {
                             return;
                         };
-                        pool.sweep(start.elapsed());
+                        pool.evict_expired(start.elapsed());
                         let pool = pool.clone();
                         tokio::spawn(async move {
                             let _place = place;
@@ -105,7 +105,7 @@
 }
 
 pub(crate) async fn ask(pool: &Pool, start: Instant, what: &What) -> Answer {
-    let idle = pool.idle(start.elapsed(), what.address);
+    let idle = pool.take_idle(start.elapsed(), what.address);
     let mut connection = match idle {
         Some(connection) => connection,
         None => client::open(what.address).await.ok()?,
@@ -114,7 +114,7 @@
     let status = answer.status().as_u16();
     let body = Limited::new(answer.into_body(), LARGEST).collect().await;
     let body = body.ok()?.to_bytes();
-    pool.keep(start.elapsed(), connection, None);
+    pool.put_back(start.elapsed(), connection, None);
     Some((status, body))
 }
 
--- a/crates/engine/src/others.rs
+++ b/crates/engine/src/others.rs
@@ -56,7 +56,7 @@
             }
             _ => {
                 // What waits on the link must not arrive when the other one is back.
-                net.forget(other);
+                net.disconnect(other);
                 unheard(call)
             }
         }
--- a/crates/engine/src/places.rs
+++ b/crates/engine/src/places.rs
@@ -33,12 +33,12 @@
         low: held.iter().map(|r| r.to_le_bytes()[0]).collect(),
         high: held.iter().map(|r| r.to_le_bytes()[1]).collect(),
     };
-    bn_wire::pack(&places.encode_to_vec())
+    bn_wire::compress(&places.encode_to_vec())
 }
 
 /// Experts by set and rank, of what [`pack_places`] made.
 pub fn unpack_places(packed: &[u8]) -> io::Result<Vec<Vec<Vec<u32>>>> {
-    let bytes = bn_wire::unpack(packed)?;
+    let bytes = bn_wire::decompress(packed)?;
     let places = ExpertPlaces::decode(&bytes[..]).map_err(io::Error::other)?;
     let mut held = places.low.iter().zip(&places.high);
     let mut sets = Vec::new();
--- a/crates/engine/src/relay.rs
+++ b/crates/engine/src/relay.rs
@@ -10,7 +10,7 @@
 use crate::places::unpack_places;
 use crate::{Result, RuntimeSnafu};
 use bn_conf::{Relay as Conf, Settings};
-use bn_net::{Net, Usage};
+use bn_net::{Net, UsageReporter};
 use bn_platform::engine::{self, Operation, RankedMap};
 use bn_serve::client::Pool;
 use bn_trace::Lines;
@@ -63,7 +63,7 @@
 pub fn start(settings: &Settings, conf: &Conf, lines: Lines) -> Result<Handle> {
     let (sink, inbox) = mpsc::channel(RING);
     let put = move |envelope| sink.try_send(envelope).is_ok();
-    let net = Net::begin(
+    let net = Net::start(
         Role::Relay,
         &settings.id,
         settings.inbox,
@@ -115,20 +115,20 @@
         mut inbox: mpsc::Receiver<Envelope>,
         mut stopped: watch::Receiver<bool>,
     ) {
-        let mut usage = Usage::default();
+        let mut usage = UsageReporter::default();
         loop {
             let envelope = tokio::select! {
                 Some(envelope) = inbox.recv() => envelope,
                 _ = stopped.wait_for(|s| *s) => return,
             };
             let queues = || json!({ "inbox": inbox.len() });
-            usage.note(self.start.elapsed(), &self.net, &self.lines, queues);
+            usage.report_if_due(self.start.elapsed(), &self.net, &self.lines, queues);
             let Ok(asker) = envelope.inbox.parse::<SocketAddr>() else {
                 continue;
             };
             match envelope.body {
                 Some(Body::EngineAsks(asks)) => {
-                    self.pool.sweep(self.start.elapsed());
+                    self.pool.evict_expired(self.start.elapsed());
                     let relay = self.clone();
                     // On its own: an order must not wait for one that is never answered.
                     tokio::spawn(async move {
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -83,7 +83,7 @@
 ) -> Outcome {
     let address = seat.server.address;
     // A connection that turns out closed before a byte left is replaced by a new one.
-    let mut idle = shared.pool.idle(shared.now(), address);
+    let mut idle = shared.pool.take_idle(shared.now(), address);
     let mut connection = loop {
         let connection = match idle.take() {
             Some(connection) => connection,
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -7,7 +7,7 @@
 use crate::{place, plain, stream, ticket};
 use bn_directory::ANSWER_TTL;
 use bn_platform::call::{self, Call};
-use bn_serve::{Body, BodyFault, text, whole_body};
+use bn_serve::{Body, BodyError, read_body, text};
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 use serde_json::json;
@@ -46,7 +46,7 @@
         return refused(&shared, &ticket, &stopping);
     }
     let most = plan.map_or(0, |p| p.limits().body_bytes);
-    match whole_body(body, most, ticket.left(now)).await {
+    match read_body(body, most, ticket.left(now)).await {
         Ok(body) => ticket.body = body,
         Err(fault) => return refused(&shared, &ticket, &body_refusal(fault)),
     }
@@ -101,11 +101,11 @@
     text(200, "application/json", body)
 }
 
-fn body_refusal(fault: BodyFault) -> Refusal {
+fn body_refusal(fault: BodyError) -> Refusal {
     match fault {
-        BodyFault::Slow => Refusal::wrong(408, "the body came too slowly"),
-        BodyFault::TooLarge => Refusal::wrong(413, "the body is too large"),
-        BodyFault::Broken => Refusal::wrong(400, "the body broke off"),
+        BodyError::TimedOut => Refusal::wrong(408, "the body came too slowly"),
+        BodyError::TooLarge => Refusal::wrong(413, "the body is too large"),
+        BodyError::Broken => Refusal::wrong(400, "the body broke off"),
     }
 }
 
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -9,7 +9,7 @@
 use crate::suspects::Report;
 use bn_backpressure::Share;
 use bn_directory::{GatewaySelection, SelectedGateway};
-use bn_net::{Net, Usage};
+use bn_net::{Net, UsageReporter};
 use bn_quarantine::{Digest, Told};
 use bn_registry::{Condition, Record};
 use bn_route::Server;
@@ -62,7 +62,7 @@
     told_ready: bool,
     registered: IndexMap<String, Record>,
     rate: Rate,
-    usage: Usage,
+    usage: UsageReporter,
     /// Most messages that waited since the last line of usage.
     longest: usize,
     /// Suspects that wait for the leader's word, by call.
@@ -87,7 +87,7 @@
             told_ready: false,
             registered: IndexMap::new(),
             rate: Rate::default(),
-            usage: Usage::default(),
+            usage: UsageReporter::default(),
             longest: 0,
             asked: IndexMap::new(),
             calls: 0,
@@ -129,12 +129,13 @@
         let longest = &mut self.longest;
         let queues = || json!({ "inbox": waiting, "inbox_longest": std::mem::take(longest) });
         let now = self.shared.now();
-        self.usage.note(now, &self.net, &self.shared.lines, queues);
+        self.usage
+            .report_if_due(now, &self.net, &self.shared.lines, queues);
     }
 
     fn ask_next(&mut self) {
         let now = self.shared.now();
-        self.shared.pool.sweep(now);
+        self.shared.pool.evict_expired(now);
         let held = self.shared.state().fleet.throttled_count(now);
         metrics::gauge!("backend_servers_held").set(held as f64);
         self.tell_limits();
@@ -168,7 +169,7 @@
         let version = self.shared.plan().map_or(0, |p| p.version());
         let position = self.sources.asked(inbox);
         if position.reopen {
-            self.net.forget(inbox);
+            self.net.disconnect(inbox);
         }
         if position.lost {
             let lost = json!({ "coordinator": inbox, "version": version });
@@ -251,7 +252,7 @@
             let fields = json!({ "version": news.version, "coordinator": inbox });
             return self.shared.lines.put("document_not_taken", fields);
         }
-        let document = match bn_wire::unpack(&news.document) {
+        let document = match bn_wire::decompress(&news.document) {
             Ok(document) => document,
             Err(e) => return log::error!("document {}: {e}", news.version),
         };
@@ -323,7 +324,7 @@
         drop(state);
         asked::learn(&self.shared, &record, source);
         if let Some(address) = record.address.filter(|_| again) {
-            self.shared.pool.forget(address);
+            self.shared.pool.close_idle(address);
         }
         self.shared.room.notify_waiters();
         let fields = json!({
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -92,7 +92,7 @@
     let limit = attempt::idle_limit(&parts.headers);
     let body = Limited::new(body, LARGEST).collect().await;
     let body = body.map_err(|_| Flaw::Broke)?.to_bytes();
-    shared.pool.keep(shared.now(), connection, limit);
+    shared.pool.put_back(shared.now(), connection, limit);
     drop(seat);
     match marked || !parts.status.is_success() {
         true => Ok(Whole { parts, body }),
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -6,7 +6,7 @@
 use bn_conf::{Gateway as Conf, Settings};
 use bn_net::Net;
 use bn_route::RetryAllowance;
-use bn_serve::{Body, Bounds};
+use bn_serve::{Body, ConnectionLimits};
 use bn_trace::Lines;
 use bn_wire::messages::Role;
 use hyper::body::Incoming;
@@ -70,7 +70,7 @@
     let shared = Shared::new(&settings.domain, allowance, lines, reports);
     let (sink, inbox) = mpsc::channel(RING);
     let put = move |envelope| sink.try_send(envelope).is_ok();
-    let net = Net::begin(
+    let net = Net::start(
         Role::Gateway,
         &settings.id,
         settings.inbox,
@@ -115,9 +115,9 @@
 }
 
 async fn serve_callers(shared: Shared, listener: TcpListener) {
-    let bounds = Bounds {
-        header_time: IDLE,
-        ..Bounds::default()
+    let bounds = ConnectionLimits {
+        header_timeout: IDLE,
+        ..ConnectionLimits::default()
     };
     let closing = shared.closing.subscribe();
     let handle = move |request| front::answer(shared.clone(), request);
@@ -137,7 +137,9 @@
         let response = answer(&shared, &request);
         async move { response }
     };
-    if let Err(e) = bn_serve::accept(listener, None, Bounds::default(), closing, handle).await {
+    if let Err(e) =
+        bn_serve::accept(listener, None, ConnectionLimits::default(), closing, handle).await
+    {
         log::error!("readiness or directory: {e}");
     }
 }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -179,7 +179,7 @@
                 End::Whole => {
                     let shared = &self.shared;
                     let now = shared.now();
-                    shared.pool.keep(now, source.connection, source.limit);
+                    shared.pool.put_back(now, source.connection, source.limit);
                     shared.state().fleet.record_success(now, &id);
                     suspects::whole(shared, &self.ticket);
                     return self.note("stream_whole", &id, "");
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -190,9 +190,9 @@
         match opened {
             Ok(connection) => {
                 shared.state().watch.lives(&run.start);
-                shared.pool.keep(now, connection, None);
+                shared.pool.put_back(now, connection, None);
             }
-            Err(e) if e.nobody_listens() => {
+            Err(e) if e.is_connection_refused() => {
                 let end = shared.state().watch.ended(now, &run.start);
                 if let Some(end) = end {
                     tell(&shared, end, "refused");
@@ -219,7 +219,7 @@
         state.fleet.get(&start.id).map(|s| s.address)
     };
     if let Some(address) = address {
-        shared.pool.forget(address);
+        shared.pool.close_idle(address);
     }
     shared.room.notify_waiters();
     let fields = json!({ "id": start.id, "began": start.began, "sign": sign });
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -4,7 +4,7 @@
 
 mod link;
 mod traffic;
-mod usage;
+mod usage_reporter;
 
 use bn_wire::messages::{Envelope, Role, envelope::Body};
 use link::Link;
@@ -19,13 +19,13 @@
 use std::thread;
 use traffic::Traffic;
 
-pub use traffic::{Flow, Tally, Way};
-pub use usage::Usage;
+pub use traffic::{Disposition, Flow, Tally};
+pub use usage_reporter::UsageReporter;
 
 /// Messages that wait for the inbox's thread; beyond them the oldest are lost.
-const INBOX_MESSAGES: i32 = 1024;
+const INBOX_CAPACITY: i32 = 1024;
 /// Largest message taken, in bytes.
-const LARGEST_MESSAGE: usize = 64 << 20;
+const MAX_MESSAGE_BYTES: usize = 64 << 20;
 
 /// Why the inbox could not be opened.
 #[derive(Debug, Snafu)]
@@ -66,34 +66,34 @@
         listen: SocketAddr,
         sink: impl Fn(Envelope) + Send + 'static,
     ) -> Result<Net> {
-        let put = move |envelope| {
+        let deliver = move |envelope| {
             sink(envelope);
             true
         };
-        Net::start(Role::Node, (id, incarnation), inbox, listen, put)
+        Net::open_with_role(Role::Node, (id, incarnation), inbox, listen, deliver)
     }
 
     /// Opens the inbox of a process that begins now: `put` takes each message into a bounded
     /// ring, or says that it is full. What is lost there is counted, as loss on a link is.
-    pub fn begin(
+    pub fn start(
         role: Role,
         id: &str,
         inbox: SocketAddr,
         listen: SocketAddr,
-        put: impl Fn(Envelope) -> bool + Send + 'static,
+        deliver: impl Fn(Envelope) -> bool + Send + 'static,
     ) -> Result<Net> {
         let incarnation = rand::random::<u64>() | 1;
-        Net::start(role, (id, incarnation), inbox, listen, put)
+        Net::open_with_role(role, (id, incarnation), inbox, listen, deliver)
     }
 
-    fn start(
+    fn open_with_role(
         role: Role,
         (id, incarnation): (&str, u64),
         inbox: SocketAddr,
         listen: SocketAddr,
-        put: impl Fn(Envelope) -> bool + Send + 'static,
+        deliver: impl Fn(Envelope) -> bool + Send + 'static,
     ) -> Result<Net> {
-        let socket = open(listen).context(OpenSnafu { address: listen })?;
+        let socket = open_socket(listen).context(OpenSnafu { address: listen })?;
         let inner = Arc::new(Inner {
             id: id.into(),
             incarnation,
@@ -103,11 +103,11 @@
             traffic: Mutex::default(),
         });
         // Weak: the inbox's thread must not keep links open that nobody uses any more.
-        let starts = Starts {
+        let incarnations = PeerIncarnations {
             known: HashMap::new(),
             inner: Arc::downgrade(&inner),
         };
-        thread::spawn(move || receive(&socket, starts, put));
+        thread::spawn(move || receive(&socket, incarnations, deliver));
         Ok(Net(inner))
     }
 
@@ -119,7 +119,7 @@
     /// Queues a message. `false` says that it was not queued, so no byte of it was
     /// or will be sent; `true` says nothing about arrival.
     pub fn send(&self, to: SocketAddr, body: Body) -> bool {
-        let kind = kind(&body);
+        let kind = kind_name(&body);
         let envelope = Envelope {
             from: self.0.id.clone(),
             incarnation: self.0.incarnation,
@@ -135,24 +135,28 @@
         if !sent {
             metrics::counter!("link_refused").increment(1);
         }
-        let way = if sent { Way::Sent } else { Way::Refused };
-        self.0.counts().sent(way, kind, to, length);
+        let disposition = if sent {
+            Disposition::Sent
+        } else {
+            Disposition::Refused
+        };
+        self.0.traffic().count_sent(disposition, kind, to, length);
         sent
     }
 
     /// Messages and bytes exchanged since the start of the process.
     pub fn traffic(&self) -> Vec<(Flow, Tally)> {
-        self.0.counts().tallies()
+        self.0.traffic().tallies()
     }
 
     /// Peers that there is a link to.
-    pub fn links(&self) -> usize {
+    pub fn link_count(&self) -> usize {
         self.0.links().len()
     }
 
     /// Closes the link to a peer that is gone. What waited on it is dropped, so
     /// that a peer that comes back is not handed minutes-old messages.
-    pub fn forget(&self, peer: SocketAddr) {
+    pub fn disconnect(&self, peer: SocketAddr) {
         if let Some(link) = self.0.links().remove(&peer) {
             link.close();
         }
@@ -175,13 +179,13 @@
         self.links.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn counts(&self) -> MutexGuard<'_, Traffic> {
+    fn traffic(&self) -> MutexGuard<'_, Traffic> {
         self.traffic.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// Name of a message's kind, for counters.
-fn kind(body: &Body) -> &'static str {
+fn kind_name(body: &Body) -> &'static str {
     match body {
         Body::Attach(_) => "attach",
         Body::AgentLease(_) => "agent_lease",
@@ -216,11 +220,11 @@
     }
 }
 
-fn open(address: SocketAddr) -> nng::Result<Socket> {
+fn open_socket(address: SocketAddr) -> nng::Result<Socket> {
     let socket = Socket::new(Protocol::Sub0)?;
     socket.set_opt::<Subscribe>(Vec::new())?;
-    socket.set_opt::<RecvBufferSize>(INBOX_MESSAGES)?;
-    socket.set_opt::<RecvMaxSize>(LARGEST_MESSAGE)?;
+    socket.set_opt::<RecvBufferSize>(INBOX_CAPACITY)?;
+    socket.set_opt::<RecvMaxSize>(MAX_MESSAGE_BYTES)?;
     socket.listen(&format!("tcp://{address}"))?;
     Ok(socket)
 }
@@ -231,13 +235,13 @@
 /// goes on as if it stood until the next message on it is answered with a reset: that message is
 /// lost. Each relay of a group would lose its answer to a new leader in turn, which would not see its
 /// group for seconds. So a link ends as soon as its peer shows a new start.
-struct Starts {
+struct PeerIncarnations {
     known: HashMap<String, u64>,
     inner: Weak<Inner>,
 }
 
-impl Starts {
-    fn note(&mut self, envelope: &Envelope) {
+impl PeerIncarnations {
+    fn observe(&mut self, envelope: &Envelope) {
         let known = self.known.get_mut(&envelope.inbox);
         let earlier = known.as_ref().map(|k| **k);
         if earlier == Some(envelope.incarnation) {
@@ -253,21 +257,33 @@
         let (Some(inner), Ok(peer)) = (self.inner.upgrade(), envelope.inbox.parse()) else {
             return;
         };
-        inner.counts().know(peer, envelope.role());
+        inner.traffic().set_role(peer, envelope.role());
         if earlier.is_some() {
             metrics::counter!("links_of_earlier_starts").increment(1);
-            Net(inner).forget(peer);
+            Net(inner).disconnect(peer);
         }
     }
 
-    fn count(&self, way: Way, kind: &'static str, from: Role, bytes: usize) {
+    fn count_received(
+        &self,
+        disposition: Disposition,
+        kind: &'static str,
+        from: Role,
+        bytes: usize,
+    ) {
         if let Some(inner) = self.inner.upgrade() {
-            inner.counts().received(way, kind, from, bytes);
+            inner
+                .traffic()
+                .count_received(disposition, kind, from, bytes);
         }
     }
 }
 
-fn receive(socket: &Socket, mut starts: Starts, put: impl Fn(Envelope) -> bool) {
+fn receive(
+    socket: &Socket,
+    mut incarnations: PeerIncarnations,
+    deliver: impl Fn(Envelope) -> bool,
+) {
     loop {
         let bytes = match socket.recv() {
             Ok(bytes) => bytes,
@@ -277,14 +293,21 @@
         match Envelope::decode(&bytes[..]) {
             Ok(envelope) => {
                 metrics::counter!("link_received_bytes").increment(bytes.len() as u64);
-                starts.note(&envelope);
-                let (kind, from) = (envelope.body.as_ref().map_or("none", kind), envelope.role());
-                let taken = put(envelope);
+                incarnations.observe(&envelope);
+                let (kind, from) = (
+                    envelope.body.as_ref().map_or("none", kind_name),
+                    envelope.role(),
+                );
+                let taken = deliver(envelope);
                 if !taken {
                     metrics::counter!("ring_lost_total").increment(1);
                 }
-                let way = if taken { Way::Received } else { Way::Lost };
-                starts.count(way, kind, from, bytes.len());
+                let disposition = if taken {
+                    Disposition::Received
+                } else {
+                    Disposition::Dropped
+                };
+                incarnations.count_received(disposition, kind, from, bytes.len());
             }
             Err(_) => metrics::counter!("link_undecodable").increment(1),
         }
--- a/crates/net/src/link.rs
+++ b/crates/net/src/link.rs
@@ -17,9 +17,9 @@
 use std::time::Duration;
 
 /// Messages that a link holds while its peer does not take them, or is not there.
-const MESSAGES: usize = 1024;
-const RECONNECT_FROM: Duration = Duration::from_millis(20);
-const RECONNECT_TO: Duration = Duration::from_millis(250);
+const QUEUE_CAPACITY: usize = 1024;
+const RECONNECT_MIN: Duration = Duration::from_millis(20);
+const RECONNECT_MAX: Duration = Duration::from_millis(250);
 
 /// A link to a peer, connected or not.
 pub(crate) struct Link {
@@ -33,16 +33,16 @@
     /// next: a mere flag would then stand for none, and all messages would wait for ever.
     pipes: HashSet<Pipe>,
     /// What was sent before there was a connection.
-    waiting: VecDeque<Vec<u8>>,
+    queued: VecDeque<Vec<u8>>,
 }
 
 impl Link {
     /// Opens a link; the connection may come about later.
     pub(crate) fn dial(to: SocketAddr) -> nng::Result<Arc<Link>> {
         let socket = Socket::new(Protocol::Pub0)?;
-        socket.set_opt::<SendBufferSize>(MESSAGES as i32)?;
-        socket.set_opt::<ReconnectMinTime>(Some(RECONNECT_FROM))?;
-        socket.set_opt::<ReconnectMaxTime>(Some(RECONNECT_TO))?;
+        socket.set_opt::<SendBufferSize>(QUEUE_CAPACITY as i32)?;
+        socket.set_opt::<ReconnectMinTime>(Some(RECONNECT_MIN))?;
+        socket.set_opt::<ReconnectMaxTime>(Some(RECONNECT_MAX))?;
         let link = Arc::new(Link {
             socket,
             state: Mutex::default(),
@@ -51,7 +51,7 @@
         let weak = Arc::downgrade(&link);
         link.socket.pipe_notify(move |pipe, event| {
             if let Some(link) = weak.upgrade() {
-                link.note(pipe, event);
+                link.on_pipe_event(pipe, event);
                 // The last owner closes the socket, which waits for this very call to end: that
                 // one must be another thread.
                 if let Some(last) = Arc::into_inner(link) {
@@ -65,29 +65,29 @@
 
     /// Queues a message; `false` where that is not possible. Never waits for the peer.
     pub(crate) fn send(&self, bytes: Vec<u8>) -> bool {
-        let mut state = self.state();
+        let mut state = self.lock_state();
         if !state.pipes.is_empty() {
             return self.socket.try_send(&bytes[..]).is_ok();
         }
-        let room = state.waiting.len() < MESSAGES;
-        if room {
-            state.waiting.push_back(bytes);
+        let has_capacity = state.queued.len() < QUEUE_CAPACITY;
+        if has_capacity {
+            state.queued.push_back(bytes);
         }
-        room
+        has_capacity
     }
 
     /// Drops what still waits.
     pub(crate) fn close(&self) {
-        self.state().waiting.clear();
+        self.lock_state().queued.clear();
         self.socket.close();
     }
 
-    fn note(&self, pipe: Pipe, event: PipeEvent) {
-        let mut state = self.state();
+    fn on_pipe_event(&self, pipe: Pipe, event: PipeEvent) {
+        let mut state = self.lock_state();
         match event {
             PipeEvent::AddPost => {
                 state.pipes.insert(pipe);
-                for bytes in state.waiting.drain(..) {
+                for bytes in state.queued.drain(..) {
                     if self.socket.try_send(&bytes[..]).is_err() {
                         metrics::counter!("link_refused").increment(1);
                     }
@@ -100,7 +100,7 @@
         }
     }
 
-    fn state(&self) -> MutexGuard<'_, State> {
+    fn lock_state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/net/src/traffic.rs
+++ b/crates/net/src/traffic.rs
@@ -7,7 +7,7 @@
 
 /// What became of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Way {
+pub enum Disposition {
     /// Queued for its peer.
     Sent,
     /// Not queued, since the link was full.
@@ -15,14 +15,14 @@
     /// Handed to this process.
     Received,
     /// Received, but this process had no room for it.
-    Lost,
+    Dropped,
 }
 
 /// Messages that are counted together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Flow {
     /// What became of them.
-    pub way: Way,
+    pub disposition: Disposition,
     /// Kind of message.
     pub kind: &'static str,
     /// Role of the peer; none until it was heard of.
@@ -46,39 +46,65 @@
 }
 
 impl Traffic {
-    pub(crate) fn know(&mut self, peer: SocketAddr, role: Role) {
+    pub(crate) fn set_role(&mut self, peer: SocketAddr, role: Role) {
         self.roles.insert(peer, role);
     }
 
-    pub(crate) fn sent(&mut self, way: Way, kind: &'static str, to: SocketAddr, bytes: usize) {
+    pub(crate) fn count_sent(
+        &mut self,
+        disposition: Disposition,
+        kind: &'static str,
+        to: SocketAddr,
+        bytes: usize,
+    ) {
         let peer = self.roles.get(&to).copied();
-        self.count(Flow { way, kind, peer }, bytes);
+        self.add(
+            Flow {
+                disposition,
+                kind,
+                peer,
+            },
+            bytes,
+        );
     }
 
-    pub(crate) fn received(&mut self, way: Way, kind: &'static str, from: Role, bytes: usize) {
+    pub(crate) fn count_received(
+        &mut self,
+        disposition: Disposition,
+        kind: &'static str,
+        from: Role,
+        bytes: usize,
+    ) {
         let peer = Some(from);
-        self.count(Flow { way, kind, peer }, bytes);
+        self.add(
+            Flow {
+                disposition,
+                kind,
+                peer,
+            },
+            bytes,
+        );
     }
 
     pub(crate) fn tallies(&self) -> Vec<(Flow, Tally)> {
         self.tallies.iter().map(|(f, t)| (*f, *t)).collect()
     }
 
-    fn count(&mut self, flow: Flow, bytes: usize) {
+    fn add(&mut self, flow: Flow, bytes: usize) {
         let tally = self.tallies.entry(flow).or_default();
         tally.messages += 1;
         tally.bytes += bytes as u64;
     }
 }
 
-impl Way {
+impl Disposition {
     /// Its name on the metrics page and in lines.
     pub fn name(self) -> &'static str {
         match self {
-            Way::Sent => "sent",
-            Way::Refused => "refused",
-            Way::Received => "received",
-            Way::Lost => "lost",
+            Disposition::Sent => "sent",
+            Disposition::Refused => "refused",
+            Disposition::Received => "received",
+            Disposition::Dropped => "lost",
         }
     }
 }
--- a/crates/net/tests/links.rs
+++ b/crates/net/tests/links.rs
@@ -32,7 +32,7 @@
 
 fn open() -> (SocketAddr, Net) {
     let address = free_address();
-    let net = Net::begin(Role::Node, "a", address, address, |_| true).unwrap();
+    let net = Net::start(Role::Node, "a", address, address, |_| true).unwrap();
     (address, net)
 }
 
@@ -92,7 +92,7 @@
     let inbox = peer.local_addr().unwrap();
     let address = free_address();
     let (heard, news) = std::sync::mpsc::channel();
-    let net = Net::begin(Role::Node, "a", address, address, move |e| {
+    let net = Net::start(Role::Node, "a", address, address, move |e| {
         heard.send(e.incarnation).is_ok()
     });
     let net = net.unwrap();
--- a/crates/net/tests/traffic.rs
+++ b/crates/net/tests/traffic.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
-use bn_net::{Flow, Net, Tally, Way};
+use bn_net::{Disposition, Flow, Net, Tally};
 use bn_wire::messages::{News, NewsAsk, Role, envelope::Body};
 use googletest::prelude::*;
 use std::net::{SocketAddr, TcpListener};
@@ -18,22 +18,39 @@
 
 fn process(role: Role, takes: bool) -> (SocketAddr, Net) {
     let address = free_address();
-    let net = Net::begin(role, "p", address, address, move |_| takes).unwrap();
+    let net = Net::start(role, "p", address, address, move |_| takes).unwrap();
     (address, net)
 }
 
-fn tally(net: &Net, way: Way, kind: &'static str, peer: Option<Role>) -> Option<Tally> {
-    let flow = Flow { way, kind, peer };
+fn tally(
+    net: &Net,
+    disposition: Disposition,
+    kind: &'static str,
+    peer: Option<Role>,
+) -> Option<Tally> {
+    let flow = Flow {
+        disposition,
+        kind,
+        peer,
+    };
     let all = net.traffic();
     all.into_iter().find(|(f, _)| *f == flow).map(|(_, t)| t)
 }
 
-fn until_messages(net: &Net, way: Way, kind: &'static str, peer: Option<Role>) -> Tally {
+fn until_messages(
+    net: &Net,
+    disposition: Disposition,
+    kind: &'static str,
+    peer: Option<Role>,
+) -> Tally {
     let until = Instant::now() + WITHIN;
     loop {
-        match tally(net, way, kind, peer) {
+        match tally(net, disposition, kind, peer) {
             Some(tally) => return tally,
-            None => assert!(Instant::now() < until, "no {kind} {way:?} of {peer:?}"),
+            None => assert!(
+                Instant::now() < until,
+                "no {kind} {disposition:?} of {peer:?}"
+            ),
         }
         thread::sleep(Duration::from_millis(1));
     }
@@ -45,14 +62,24 @@
     let (at_coordinator, coordinator) = process(Role::Coordinator, true);
 
     gateway.send(at_coordinator, Body::NewsAsk(NewsAsk::default()));
-    let asked = until_messages(&coordinator, Way::Received, "news_ask", Some(Role::Gateway));
+    let asked = until_messages(
+        &coordinator,
+        Disposition::Received,
+        "news_ask",
+        Some(Role::Gateway),
+    );
     coordinator.send(at_gateway, Body::News(News::default()));
-    let told = until_messages(&gateway, Way::Received, "news", Some(Role::Coordinator));
+    let told = until_messages(
+        &gateway,
+        Disposition::Received,
+        "news",
+        Some(Role::Coordinator),
+    );
 
-    let sent = tally(&coordinator, Way::Sent, "news", Some(Role::Gateway));
+    let sent = tally(&coordinator, Disposition::Sent, "news", Some(Role::Gateway));
     expect_that!(sent, some(eq(told)));
     // Nothing had been heard of the coordinator when it was asked.
-    let ask = tally(&gateway, Way::Sent, "news_ask", None);
+    let ask = tally(&gateway, Disposition::Sent, "news_ask", None);
     expect_that!(ask, some(eq(asked)));
     expect_that!(asked.messages, eq(1));
     expect_that!(asked.bytes, gt(0));
@@ -66,8 +93,18 @@
 
     gateway.send(at_coordinator, Body::NewsAsk(NewsAsk::default()));
 
-    let lost = until_messages(&coordinator, Way::Lost, "news_ask", Some(Role::Gateway));
+    let lost = until_messages(
+        &coordinator,
+        Disposition::Dropped,
+        "news_ask",
+        Some(Role::Gateway),
+    );
     expect_that!(lost.messages, eq(1));
-    let taken = tally(&coordinator, Way::Received, "news_ask", Some(Role::Gateway));
+    let taken = tally(
+        &coordinator,
+        Disposition::Received,
+        "news_ask",
+        Some(Role::Gateway),
+    );
     expect_that!(taken, none());
 }
--- a/crates/node/src/caller.rs
+++ b/crates/node/src/caller.rs
@@ -3,7 +3,7 @@
 
 use crate::entry::Event;
 use crate::verdict::{Refusal, Verdict};
-use bn_serve::{Body, BodyFault, Bounds, text, whole_body};
+use bn_serve::{Body, BodyError, ConnectionLimits, read_body, text};
 use bn_state::Priority;
 use crossbeam::channel::Sender;
 use http_body_util::{BodyExt, StreamBody};
@@ -266,13 +266,13 @@
 }
 
 async fn checked_body(body: Incoming, most: usize) -> Result<Vec<u8>, Refusal> {
-    let whole = whole_body(body, most, Bounds::default().body_time).await;
+    let whole = read_body(body, most, ConnectionLimits::default().body_timeout).await;
     whole.map(|b| b.to_vec()).map_err(|fault| match fault {
-        BodyFault::Slow => Refusal::not_run(408, "the body came too slowly"),
-        BodyFault::TooLarge => {
+        BodyError::TimedOut => Refusal::not_run(408, "the body came too slowly"),
+        BodyError::TooLarge => {
             Refusal::not_run(413, format!("the body is larger than {most} bytes"))
         }
-        BodyFault::Broken => Refusal::not_run(400, "the body broke off"),
+        BodyError::Broken => Refusal::not_run(400, "the body broke off"),
     })
 }
 
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -13,7 +13,7 @@
     Entry, Member, Message, Output, Payload, Replica, ReplicaConfig, Restored, Role, Timing,
 };
 use bn_state::{Command, State};
-use bn_store::{Disk, Loaded, Store};
+use bn_store::{Disk, LoadedState, Store};
 use bn_wire::messages::envelope::Body;
 use bn_wire::messages::{self as wire, Envelope};
 use crossbeam::channel::{Receiver, RecvTimeoutError};
@@ -67,7 +67,7 @@
             loaded.identity,
             loaded.entries.len(),
             loaded.snapshot.as_ref().map_or(0, |s| s.index),
-            loaded.cut_bytes
+            loaded.truncated_bytes
         );
         common.events.note("data", what);
         let first = |p: &bn_conf::Peer| {
@@ -177,7 +177,7 @@
 
     fn persist(&mut self, out: &Output) -> Result<()> {
         if let Some(snapshot) = &out.snapshot {
-            self.store.snapshot(&snapshot.into(), Vec::new())?;
+            self.store.replace_snapshot(&snapshot.into(), Vec::new())?;
             self.state = decode_state(&snapshot.state)?;
             self.applied = snapshot.index;
             self.common
@@ -242,7 +242,7 @@
                 .iter()
                 .map(Into::into)
                 .collect();
-            self.store.snapshot(&(&snapshot).into(), rest)?;
+            self.store.replace_snapshot(&(&snapshot).into(), rest)?;
             self.common
                 .events
                 .note("snapshot", format!("taken at {}", snapshot.index));
@@ -300,7 +300,7 @@
     })
 }
 
-fn restored(loaded: Loaded) -> Result<Restored> {
+fn restored(loaded: LoadedState) -> Result<Restored> {
     let entries = loaded
         .entries
         .into_iter()
--- a/crates/node/src/entry/agents.rs
+++ b/crates/node/src/entry/agents.rs
@@ -161,7 +161,7 @@
             if let Some(agent) = self.agents.get_mut(&name) {
                 agent.lost = true;
                 // What waits on the link would arrive minutes late.
-                self.common.net.forget(agent.inbox);
+                self.common.net.disconnect(agent.inbox);
             }
         }
         for name in self.router.remove_silent(now, FORGET) {
--- a/crates/node/src/pages.rs
+++ b/crates/node/src/pages.rs
@@ -2,7 +2,7 @@
 //! announcements. Nothing here streams.
 
 use crate::{ListenSnafu, Result};
-use bn_serve::{Body, Bounds, text, whole_body};
+use bn_serve::{Body, ConnectionLimits, read_body, text};
 use bn_trace::{Events, Metrics};
 use hyper::body::Incoming;
 use hyper::{Request, Response};
@@ -52,7 +52,7 @@
 }
 
 fn rendered(metrics: &Metrics) -> Response<Body> {
-    let used = bn_trace::usage();
+    let used = bn_trace::process_usage();
     metrics::gauge!("process_cpu_seconds").set(used.cpu_seconds);
     metrics::gauge!("process_resident_bytes").set(used.resident_bytes as f64);
     text(200, PLAIN, metrics.render())
@@ -77,8 +77,8 @@
 async fn answer_extra(extra: Arc<Vec<Extra>>, request: Request<Incoming>) -> Response<Body> {
     let method = request.method().to_string();
     let path = request.uri().path().to_string();
-    let time = Bounds::default().body_time;
-    let Ok(body) = whole_body(request.into_body(), LARGEST_BODY, time).await else {
+    let time = ConnectionLimits::default().body_timeout;
+    let Ok(body) = read_body(request.into_body(), LARGEST_BODY, time).await else {
         return text(
             413,
             JSON,
--- a/crates/serve/src/client.rs
+++ b/crates/serve/src/client.rs
@@ -20,27 +20,27 @@
 /// Longest wait for a connection. Two round trips between failure domains take 4 ms; an
 /// opening packet that was dropped is repeated only after a second, so that another
 /// backend server is the faster way.
-const CONNECT: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Idle time after which a connection is not used again, where none was announced.
-const IDLE: Duration = Duration::from_millis(2_500);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Kept below the announced idle time by this much, for packets under way.
-const MARGIN: Duration = Duration::from_millis(800);
+const IDLE_MARGIN: Duration = Duration::from_millis(800);
 /// Idle connections kept for one backend server.
-const KEPT: usize = 8;
+const MAX_IDLE_PER_ADDRESS: usize = 8;
 /// Data that nobody acknowledges for this long means that the machine is gone.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1_500);
+const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// An open connection on which nothing comes is probed after and every so often.
-const PROBE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Unanswered probes after which it is dead: 3 s of silence of the machine itself, not
 /// of the backend server's work.
-const PROBES: u32 = 2;
+const KEEPALIVE_RETRIES: u32 = 2;
 
 /// Why there is no connection.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// Nobody took it in time.
-    #[snafu(display("no connection within {} ms", CONNECT.as_millis()))]
-    Slow,
+    #[snafu(display("no connection within {} ms", CONNECT_TIMEOUT.as_millis()))]
+    ConnectTimeout,
     /// The other side, or the system, refused.
     #[snafu(display("no connection: {source}"))]
     Refused {
@@ -57,7 +57,7 @@
 
 impl Error {
     /// The machine is there, and no process takes connections at that address.
-    pub fn nobody_listens(&self) -> bool {
+    pub fn is_connection_refused(&self) -> bool {
         let refused = |e: &std::io::Error| e.kind() == std::io::ErrorKind::ConnectionRefused;
         matches!(self, Error::Refused { source } if refused(source))
     }
@@ -74,7 +74,7 @@
     address: SocketAddr,
     task: AbortHandle,
     idle_since: Duration,
-    idle_limit: Duration,
+    idle_timeout: Duration,
     /// It has carried a request before.
     pub reused: bool,
 }
@@ -91,12 +91,13 @@
 
 impl Pool {
     /// A connection that was used before and seems alive.
-    pub fn idle(&self, now: Duration, address: SocketAddr) -> Option<Connection> {
-        let mut idle = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let kept = idle.get_mut(&address)?;
-        let alive =
-            |c: &Connection| c.sender.is_ready() && now.saturating_sub(c.idle_since) < c.idle_limit;
-        while let Some(connection) = kept.pop() {
+    pub fn take_idle(&self, now: Duration, address: SocketAddr) -> Option<Connection> {
+        let mut pool = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let connections = pool.get_mut(&address)?;
+        let alive = |c: &Connection| {
+            c.sender.is_ready() && now.saturating_sub(c.idle_since) < c.idle_timeout
+        };
+        while let Some(connection) = connections.pop() {
             if alive(&connection) {
                 return Some(connection);
             }
@@ -105,43 +106,45 @@
     }
 
     /// Takes a connection back; `limit` is the idle time that the backend server told.
-    pub fn keep(&self, now: Duration, mut connection: Connection, limit: Option<Duration>) {
+    pub fn put_back(&self, now: Duration, mut connection: Connection, limit: Option<Duration>) {
         if !connection.sender.is_ready() {
             return;
         }
         connection.idle_since = now;
-        connection.idle_limit = limit.map_or(IDLE, |l| l.saturating_sub(MARGIN).min(IDLE));
+        connection.idle_timeout = limit.map_or(IDLE_TIMEOUT, |l| {
+            l.saturating_sub(IDLE_MARGIN).min(IDLE_TIMEOUT)
+        });
         connection.reused = true;
-        let mut idle = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let kept = idle.entry(connection.address).or_default();
-        if kept.len() < KEPT {
-            kept.push(connection);
+        let mut pool = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let connections = pool.entry(connection.address).or_default();
+        if connections.len() < MAX_IDLE_PER_ADDRESS {
+            connections.push(connection);
         }
     }
 
     /// Closes the idle connections to an address: another process is there now.
-    pub fn forget(&self, address: SocketAddr) {
-        let mut idle = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        idle.swap_remove(&address);
+    pub fn close_idle(&self, address: SocketAddr) {
+        let mut pool = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        pool.swap_remove(&address);
     }
 
     /// Closes what has been idle for too long.
-    pub fn sweep(&self, now: Duration) {
-        let mut idle = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        for kept in idle.values_mut() {
-            kept.retain(|c| now.saturating_sub(c.idle_since) < c.idle_limit);
+    pub fn evict_expired(&self, now: Duration) {
+        let mut pool = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        for connections in pool.values_mut() {
+            connections.retain(|c| now.saturating_sub(c.idle_since) < c.idle_timeout);
         }
-        idle.retain(|_, kept| !kept.is_empty());
+        pool.retain(|_, connections| !connections.is_empty());
     }
 }
 
 /// Opens a new connection.
 pub async fn open(address: SocketAddr) -> Result<Connection> {
-    let stream = tokio::time::timeout(CONNECT, TcpStream::connect(address))
+    let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
-        .map_err(|_| Error::Slow)?
+        .map_err(|_| Error::ConnectTimeout)?
         .context(RefusedSnafu)?;
-    guard(&stream);
+    configure_socket(&stream);
     let handshake = http1::handshake(TokioIo::new(stream)).await;
     let (sender, connection) = handshake.context(ProtocolSnafu)?;
     let task = tokio::spawn(async move {
@@ -154,7 +157,7 @@
         address,
         task: task.abort_handle(),
         idle_since: Duration::ZERO,
-        idle_limit: IDLE,
+        idle_timeout: IDLE_TIMEOUT,
         reused: false,
     })
 }
@@ -165,19 +168,19 @@
 /// A connection that is closed is reset. After an ordinary close the system goes on sending what the
 /// other side has not acknowledged: a request that was given up arrives, and is begun, when a cut
 /// ends or a frozen machine wakes, seconds after its caller left. A reset drops it.
-fn guard(stream: &TcpStream) {
+fn configure_socket(stream: &TcpStream) {
     let socket = SockRef::from(stream);
-    let probes = TcpKeepalive::new()
-        .with_time(PROBE)
-        .with_interval(PROBE)
-        .with_retries(PROBES);
-    let set = [
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_RETRIES);
+    let results = [
         stream.set_nodelay(true),
         socket.set_linger(Some(Duration::ZERO)),
-        socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED)),
-        socket.set_tcp_keepalive(&probes),
+        socket.set_tcp_user_timeout(Some(USER_TIMEOUT)),
+        socket.set_tcp_keepalive(&keepalive),
     ];
-    for error in set.into_iter().filter_map(std::result::Result::err) {
+    for error in results.into_iter().filter_map(std::result::Result::err) {
         log::warn!("a connection goes unguarded: {error}");
     }
 }
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -25,37 +25,37 @@
 use tokio_rustls::TlsAcceptor;
 
 /// Wait after a failed accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Body of an answer.
 pub type Body = BoxBody<Bytes, io::Error>;
 
 /// What a peer may hold of a server.
 #[derive(Debug, Clone, Copy)]
-pub struct Bounds {
+pub struct ConnectionLimits {
     /// A peer must have sent its whole header by then; so an idle connection ends too.
-    pub header_time: Duration,
+    pub header_timeout: Duration,
     /// A peer must have sent its whole body by then.
-    pub body_time: Duration,
+    pub body_timeout: Duration,
     /// Largest header section, in bytes.
-    pub header_bytes: usize,
+    pub max_header_bytes: usize,
 }
 
-impl Default for Bounds {
-    fn default() -> Bounds {
-        Bounds {
-            header_time: Duration::from_secs(5),
-            body_time: Duration::from_secs(10),
-            header_bytes: 16 * 1024,
+impl Default for ConnectionLimits {
+    fn default() -> ConnectionLimits {
+        ConnectionLimits {
+            header_timeout: Duration::from_secs(5),
+            body_timeout: Duration::from_secs(10),
+            max_header_bytes: 16 * 1024,
         }
     }
 }
 
 /// Why a request's body could not be had.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BodyFault {
+pub enum BodyError {
     /// It did not come in time.
-    Slow,
+    TimedOut,
     /// It is larger than the limit.
     TooLarge,
     /// The connection broke, or the framing is wrong.
@@ -63,15 +63,15 @@
 }
 
 /// Serves on its own thread, until the process ends.
-pub fn serve<F, A>(
+pub fn serve<F, Fut>(
     listener: TcpListener,
     name: &str,
     tls: Option<TlsAcceptor>,
     handle: F,
 ) -> io::Result<()>
 where
-    F: Fn(Request<Incoming>) -> A + Clone + Send + Sync + 'static,
-    A: Future<Output = Response<Body>> + Send + 'static,
+    F: Fn(Request<Incoming>) -> Fut + Clone + Send + Sync + 'static,
+    Fut: Future<Output = Response<Body>> + Send + 'static,
 {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -81,7 +81,7 @@
         .spawn(move || {
             // Nobody asks these connections to end before the process does.
             let (_open, closing) = watch::channel(false);
-            let accepted = accept(listener, tls, Bounds::default(), closing, handle);
+            let accepted = accept(listener, tls, ConnectionLimits::default(), closing, handle);
             if let Err(e) = runtime.block_on(accepted) {
                 log::error!("http: {e}");
             }
@@ -92,16 +92,16 @@
 /// Accepts connections within the current runtime. Once `closing` turns true, idle
 /// connections end and the others end with their next answer, which says so; new ones
 /// are still served, one request each.
-pub async fn accept<F, A>(
+pub async fn accept<F, Fut>(
     listener: TcpListener,
     tls: Option<TlsAcceptor>,
-    bounds: Bounds,
+    limits: ConnectionLimits,
     closing: watch::Receiver<bool>,
     handle: F,
 ) -> io::Result<()>
 where
-    F: Fn(Request<Incoming>) -> A + Clone + Send + Sync + 'static,
-    A: Future<Output = Response<Body>> + Send + 'static,
+    F: Fn(Request<Incoming>) -> Fut + Clone + Send + Sync + 'static,
+    Fut: Future<Output = Response<Body>> + Send + 'static,
 {
     listener.set_nonblocking(true)?;
     let listener = tokio::net::TcpListener::from_std(listener)?;
@@ -113,7 +113,7 @@
                 // would end the service for everybody.
                 metrics::counter!("http_accept_errors").increment(1);
                 log::warn!("accept: {e}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
@@ -123,11 +123,11 @@
         let (handle, tls, closing) = (handle.clone(), tls.clone(), closing.clone());
         tokio::spawn(async move {
             match tls {
-                None => connection(stream, bounds, closing, handle).await,
+                None => serve_connection(stream, limits, closing, handle).await,
                 // A peer that never ends its handshake would hold the connection.
                 Some(tls) => {
-                    match tokio::time::timeout(bounds.header_time, tls.accept(stream)).await {
-                        Ok(Ok(stream)) => connection(stream, bounds, closing, handle).await,
+                    match tokio::time::timeout(limits.header_timeout, tls.accept(stream)).await {
+                        Ok(Ok(stream)) => serve_connection(stream, limits, closing, handle).await,
                         _ => metrics::counter!("http_handshake_errors").increment(1),
                     }
                 }
@@ -136,29 +136,29 @@
     }
 }
 
-async fn connection<S, F, A>(
+async fn serve_connection<S, F, Fut>(
     stream: S,
-    bounds: Bounds,
+    limits: ConnectionLimits,
     mut closing: watch::Receiver<bool>,
     handle: F,
 ) where
     S: AsyncRead + AsyncWrite + Unpin + Send + 'static,
-    F: Fn(Request<Incoming>) -> A + Clone + Send + Sync + 'static,
-    A: Future<Output = Response<Body>> + Send + 'static,
+    F: Fn(Request<Incoming>) -> Fut + Clone + Send + Sync + 'static,
+    Fut: Future<Output = Response<Body>> + Send + 'static,
 {
     let service = service_fn(|request| {
-        let answer = handle(request);
-        async move { Ok::<_, Infallible>(answer.await) }
+        let response = handle(request);
+        async move { Ok::<_, Infallible>(response.await) }
     });
     let serving = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(bounds.header_time)
-        .max_buf_size(bounds.header_bytes.max(8 * 1024))
+        .header_read_timeout(limits.header_timeout)
+        .max_buf_size(limits.max_header_bytes.max(8 * 1024))
         .serve_connection(TokioIo::new(stream), service);
     let mut serving = pin!(serving);
     let served = tokio::select! {
         served = serving.as_mut() => served,
-        () = turned_true(&mut closing) => {
+        () = wait_until_true(&mut closing) => {
             serving.as_mut().graceful_shutdown();
             serving.await
         }
@@ -169,20 +169,24 @@
 }
 
 /// Waits for ever where nobody is left to turn it.
-async fn turned_true(closing: &mut watch::Receiver<bool>) {
+async fn wait_until_true(closing: &mut watch::Receiver<bool>) {
     if closing.wait_for(|c| *c).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
 /// The whole body, bounded in size and time.
-pub async fn whole_body(body: Incoming, most: usize, time: Duration) -> Result<Bytes, BodyFault> {
-    let collected = Limited::new(body, most).collect();
-    let body = tokio::time::timeout(time, collected).await;
-    let body = body.map_err(|_| BodyFault::Slow)?;
+pub async fn read_body(
+    body: Incoming,
+    max_bytes: usize,
+    timeout: Duration,
+) -> Result<Bytes, BodyError> {
+    let collected = Limited::new(body, max_bytes).collect();
+    let body = tokio::time::timeout(timeout, collected).await;
+    let body = body.map_err(|_| BodyError::TimedOut)?;
     let body = body.map_err(|e| match e.is::<LengthLimitError>() {
-        true => BodyFault::TooLarge,
-        false => BodyFault::Broken,
+        true => BodyError::TooLarge,
+        false => BodyError::Broken,
     })?;
     Ok(body.to_bytes())
 }
--- a/crates/store/src/side.rs
+++ b/crates/store/src/atomic_file.rs
@@ -8,16 +8,16 @@
 use std::path::{Path, PathBuf};
 
 /// A file whose content is replaced at once and lasts once a write has returned.
-pub struct Side {
+pub struct AtomicFile {
     path: PathBuf,
     disk: Disk,
 }
 
-impl Side {
-    /// The file `name` of a data folder.
-    pub fn new(folder: &Path, name: &str, disk: Disk) -> Side {
-        let path = folder.join(name);
-        Side { path, disk }
+impl AtomicFile {
+    /// The file `name` of a data directory.
+    pub fn new(directory: &Path, name: &str, disk: Disk) -> AtomicFile {
+        let path = directory.join(name);
+        AtomicFile { path, disk }
     }
 
     /// What was written last; none where nothing was.
@@ -33,12 +33,12 @@
             offset: 0u64,
             reason,
         };
-        Ok(Some(frame::open(&bytes).context(damaged)?.to_vec()))
+        Ok(Some(frame::decode(&bytes).context(damaged)?.to_vec()))
     }
 
     /// Replaces the content: after a crash the old or the new one stands there, whole.
     pub fn write(&mut self, content: &[u8]) -> Result<()> {
-        let bytes = frame::seal(content);
+        let bytes = frame::encode(content);
         let written = self.disk.replace(&self.path, &bytes);
         written.context(IoSnafu { path: &self.path })
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,19 +1,19 @@
-//! The data folder of a control replica: identity, log and snapshot. Everything is
+//! The data directory of a control replica: identity, log and snapshot. Everything is
 //! synced before a call returns. A torn last write is cut; earlier damage refuses.
 
+mod atomic_file;
 mod disk;
 mod frame;
-mod side;
 mod store;
 
-pub use disk::{Disk, Step};
-pub use side::Side;
-pub use store::{Loaded, Store};
+pub use atomic_file::AtomicFile;
+pub use disk::{Disk, DiskOperation};
+pub use store::{LoadedState, Store};
 
 use snafu::Snafu;
 use std::path::PathBuf;
 
-/// Why the data folder cannot be used (further).
+/// Why the data directory cannot be used (further).
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
@@ -26,7 +26,7 @@
         source: std::io::Error,
     },
     /// A part that was synced is damaged: this replica has forgotten something it
-    /// promised, so it must not vote. Empty the folder to join again as a new one.
+    /// promised, so it must not vote. Empty the directory to join again as a new one.
     #[snafu(display("{}: damaged at byte {offset}: {reason}", path.display()))]
     Damaged {
         /// The file.
@@ -37,9 +37,9 @@
         reason: String,
     },
     /// An earlier write or sync failed; that is final for this process.
-    #[snafu(display("the data folder failed earlier; restart the process"))]
+    #[snafu(display("the data directory failed earlier; restart the process"))]
     Failed,
 }
 
-/// Result of using the data folder.
+/// Result of using the data directory.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -1,8 +1,8 @@
-//! The data folder under crashes at every point, full disks and damage.
+//! The data directory under crashes at every point, full disks and damage.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
-use bn_store::{Disk, Error, Loaded, Side, Step, Store};
+use bn_store::{AtomicFile, Disk, DiskOperation, Error, LoadedState, Store};
 use bn_wire::messages::{Batch, HardState, LogEntry, Snapshot, log_entry::Kind};
 use googletest::prelude::*;
 use std::fs;
@@ -14,7 +14,7 @@
 
 const IDENTITY: u64 = 77;
 
-fn folder() -> TempDir {
+fn directory() -> TempDir {
     tempfile::tempdir().unwrap()
 }
 
@@ -47,18 +47,18 @@
     }
 }
 
-fn open(path: &Path) -> bn_store::Result<(Store, Loaded)> {
+fn open(path: &Path) -> bn_store::Result<(Store, LoadedState)> {
     Store::open(path, IDENTITY, Disk::default())
 }
 
-fn last(loaded: &Loaded) -> u64 {
+fn last(loaded: &LoadedState) -> u64 {
     let covered = loaded.snapshot.as_ref().map_or(0, |s| s.index);
     loaded.entries.last().map_or(covered, |e| e.index)
 }
 
 #[gtest]
 fn what_was_appended_comes_back() -> Result<()> {
-    let dir = folder();
+    let dir = directory();
     let (mut store, _) = open(dir.path())?;
     store.append(&batch(1, 3))?;
     store.append(&batch(4, 4))?;
@@ -75,10 +75,10 @@
 /// bytes is on disk. Cause: the tail is not told from synced content.
 #[gtest]
 fn a_torn_last_write_is_cut_at_every_byte() -> Result<()> {
-    let dir = folder();
+    let dir = directory();
     let (mut store, _) = open(dir.path())?;
     store.append(&batch(1, 2))?;
-    let whole = store.length() as usize;
+    let whole = store.log_bytes() as usize;
     store.append(&batch(3, 4))?;
     let log = dir.path().join("log");
     let bytes = fs::read(&log)?;
@@ -99,10 +99,10 @@
 /// damage is taken for a torn tail and everything after it is cut.
 #[gtest]
 fn damage_before_the_last_write_is_refused_at_every_byte() -> Result<()> {
-    let dir = folder();
+    let dir = directory();
     let (mut store, _) = open(dir.path())?;
     store.append(&batch(1, 2))?;
-    let first = store.length() as usize;
+    let first = store.log_bytes() as usize;
     store.append(&batch(3, 4))?;
     let log = dir.path().join("log");
     let bytes = fs::read(&log)?;
@@ -120,10 +120,10 @@
 #[gtest]
 fn a_damaged_snapshot_or_identity_is_refused() -> Result<()> {
     for file in ["snapshot", "identity"] {
-        let dir = folder();
+        let dir = directory();
         let (mut store, _) = open(dir.path())?;
         store.append(&batch(1, 2))?;
-        store.snapshot(&snapshot(2), Vec::new())?;
+        store.replace_snapshot(&snapshot(2), Vec::new())?;
         let path = dir.path().join(file);
         let mut bytes = fs::read(&path)?;
         let middle = bytes.len() - 2;
@@ -139,10 +139,10 @@
 
 /// Symptom: a replica whose identity file is lost votes again under a new identity
 /// but with its old log. Sequence: the file is deleted by hand. Cause: a missing
-/// identity is taken for an empty folder.
+/// identity is taken for an empty directory.
 #[gtest]
 fn a_log_without_identity_is_refused() -> Result<()> {
-    let dir = folder();
+    let dir = directory();
     let (mut store, _) = open(dir.path())?;
     store.append(&batch(1, 2))?;
     fs::remove_file(dir.path().join("identity"))?;
@@ -156,10 +156,12 @@
 fn failing(at: usize, kind: io::ErrorKind) -> (Disk, Arc<AtomicUsize>) {
     let count = Arc::new(AtomicUsize::new(0));
     let seen = count.clone();
-    let disk = Disk::new(move |_: Step| match seen.fetch_add(1, Ordering::Relaxed) {
-        n if n < at => Ok(()),
-        _ => Err(io::Error::from(kind)),
-    });
+    let disk = Disk::new(
+        move |_: DiskOperation| match seen.fetch_add(1, Ordering::Relaxed) {
+            n if n < at => Ok(()),
+            _ => Err(io::Error::from(kind)),
+        },
+    );
     (disk, count)
 }
 
@@ -173,10 +175,10 @@
             store.append(&batch(i, i))?;
             acked = i;
         }
-        store.snapshot(&snapshot(2), vec![entry(3)])?;
+        store.replace_snapshot(&snapshot(2), vec![entry(3)])?;
         store.append(&batch(4, 5))?;
         acked = 5;
-        store.snapshot(&snapshot(5), Vec::new())?;
+        store.replace_snapshot(&snapshot(5), Vec::new())?;
         store.append(&batch(6, 6))?;
         acked = 6;
         Ok(())
@@ -184,19 +186,19 @@
     acked
 }
 
-/// Symptom: acknowledged entries are missing, or the folder does not open, after a
+/// Symptom: acknowledged entries are missing, or the directory does not open, after a
 /// crash. Sequence: power fails before any one disk operation, snapshots included.
 /// Cause: a step of the replacement of log and snapshot is out of order.
 #[gtest]
 fn a_crash_before_any_disk_operation_loses_nothing_acknowledged() -> Result<()> {
     let (disk, count) = failing(usize::MAX, io::ErrorKind::Other);
-    let dir = folder();
+    let dir = directory();
     expect_that!(work(dir.path(), disk), eq(6));
     let operations = count.load(Ordering::Relaxed);
     expect_that!(operations, gt(20));
 
     for at in 0..operations {
-        let dir = folder();
+        let dir = directory();
         let acked = work(dir.path(), failing(at, io::ErrorKind::Other).0);
         let (_, loaded) = open(dir.path())?;
         expect_that!(last(&loaded), ge(acked), "operation {at}");
@@ -209,12 +211,12 @@
 #[gtest]
 fn a_failed_write_or_sync_is_final() -> Result<()> {
     for kind in [io::ErrorKind::StorageFull, io::ErrorKind::Other] {
-        for first in [Step::Write, Step::Sync] {
-            let dir = folder();
+        for first in [DiskOperation::Write, DiskOperation::Sync] {
+            let dir = directory();
             let mut armed = 0;
             // Opening takes one write and two syncs, of the identity and of what was there;
             // the next of its kind fails once.
-            let opening = if first == Step::Write { 1 } else { 2 };
+            let opening = if first == DiskOperation::Write { 1 } else { 2 };
             let disk = Disk::new(move |step| {
                 armed += usize::from(step == first);
                 if armed == opening + 1 && step == first {
@@ -243,12 +245,12 @@
 /// the power goes. Cause: what was read was taken for synced.
 #[gtest]
 fn what_is_read_back_is_synced_before_it_is_used() -> Result<()> {
-    let dir = folder();
+    let dir = directory();
     let (mut store, _) = open(dir.path())?;
     store.append(&batch(1, 1))?;
     drop(store);
     let refusing = Disk::new(|step| match step {
-        Step::Sync => Err(io::Error::from(io::ErrorKind::Other)),
+        DiskOperation::Sync => Err(io::Error::from(io::ErrorKind::Other)),
         _ => Ok(()),
     });
 
@@ -263,8 +265,8 @@
 #[gtest]
 fn a_side_file_holds_the_old_or_the_new_content_whole() -> Result<()> {
     for steps in 0..4 {
-        let folder = folder();
-        let mut side = Side::new(folder.path(), "side", Disk::default());
+        let directory = directory();
+        let mut side = AtomicFile::new(directory.path(), "side", Disk::default());
         verify_that!(side.read().unwrap(), none())?;
         side.write(b"old").unwrap();
         let left = Arc::new(AtomicUsize::new(steps));
@@ -276,7 +278,7 @@
             }
         });
 
-        let written = Side::new(folder.path(), "side", failing).write(b"new");
+        let written = AtomicFile::new(directory.path(), "side", failing).write(b"new");
 
         verify_that!(written, err(anything()))?;
         let held = side.read().unwrap().unwrap();
@@ -289,10 +291,10 @@
 
 #[gtest]
 fn a_damaged_side_file_says_so() {
-    let folder = folder();
-    let mut side = Side::new(folder.path(), "side", Disk::default());
+    let directory = directory();
+    let mut side = AtomicFile::new(directory.path(), "side", Disk::default());
     side.write(b"content").unwrap();
-    let path = folder.path().join("side");
+    let path = directory.path().join("side");
     let mut bytes = fs::read(&path).unwrap();
     *bytes.last_mut().unwrap() ^= 1;
     fs::write(&path, bytes).unwrap();
--- a/crates/trace/src/events.rs
+++ b/crates/trace/src/events.rs
@@ -12,9 +12,9 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Events a process keeps in memory.
-const RING: usize = 4096;
+const RING_CAPACITY: usize = 4096;
 /// Bits of a stamp that count events within one millisecond.
-const COUNT_BITS: u32 = 16;
+const COUNTER_BITS: u32 = 16;
 
 /// One change of state in one process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -61,7 +61,10 @@
         let detail = detail.into();
         log::info!("{kind}: {detail}");
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
-        inner.last = inner.last.max(wall_ms() << COUNT_BITS).max(inner.last + 1);
+        inner.last = inner
+            .last
+            .max(wall_ms() << COUNTER_BITS)
+            .max(inner.last + 1);
         let event = Event {
             stamp: inner.last,
             process: self.process.clone(),
@@ -72,7 +75,7 @@
             // A full disk must not stop the process: the ring still has the event.
             let _ = writeln!(file, "{line}");
         }
-        if inner.ring.len() == RING {
+        if inner.ring.len() == RING_CAPACITY {
             inner.ring.pop_front();
         }
         inner.ring.push_back(event);
@@ -89,8 +92,8 @@
     /// Takes in the stamp of a received message. A stamp further ahead than a
     /// minute is ignored: one broken wall clock would drag every process along.
     pub fn observe(&self, stamp: u64) {
-        const AHEAD_MS: u64 = 60_000;
-        if stamp >> COUNT_BITS > wall_ms() + AHEAD_MS {
+        const MAX_AHEAD_MS: u64 = 60_000;
+        if stamp >> COUNTER_BITS > wall_ms() + MAX_AHEAD_MS {
             return;
         }
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
@@ -112,18 +115,18 @@
 }
 
 fn append_to(path: &Path) -> Result<File> {
-    let shown = path.display().to_string();
+    let path_text = path.display().to_string();
     OpenOptions::new()
         .create(true)
         .append(true)
         .open(path)
-        .context(FileSnafu { path: shown })
+        .context(FileSnafu { path: path_text })
 }
 
 /// Reads events from JSON lines; a torn or foreign line is passed over.
 pub fn read_lines(path: &Path) -> Result<Vec<Event>> {
-    let shown = path.display().to_string();
-    let file = File::open(path).context(FileSnafu { path: shown })?;
+    let path_text = path.display().to_string();
+    let file = File::open(path).context(FileSnafu { path: path_text })?;
     let lines = BufReader::new(file)
         .lines()
         .map_while(std::result::Result::ok);
@@ -141,9 +144,9 @@
 
 /// The time line as text, a line an event, milliseconds since the first.
 pub fn to_text(events: &[Event]) -> String {
-    let start = events.first().map_or(0, |e| e.stamp >> COUNT_BITS);
+    let start = events.first().map_or(0, |e| e.stamp >> COUNTER_BITS);
     let line = |e: &Event| {
-        let ms = (e.stamp >> COUNT_BITS) - start;
+        let ms = (e.stamp >> COUNTER_BITS) - start;
         format!(
             "{ms:>9} ms  {:<12} {:<14} {}\n",
             e.process, e.kind, e.detail
@@ -155,7 +158,7 @@
 /// The time line in the Chrome trace format.
 pub fn to_chrome(events: &[Event]) -> String {
     let instant = |e: &Event| {
-        let micros = (e.stamp >> COUNT_BITS) * 1000 + (e.stamp & 0xffff).min(999);
+        let micros = (e.stamp >> COUNTER_BITS) * 1000 + (e.stamp & 0xffff).min(999);
         serde_json::json!({
             "name": e.kind, "ph": "i", "s": "p", "ts": micros, "pid": e.process,
             "tid": e.kind, "args": {"detail": e.detail},
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -3,14 +3,14 @@
 
 mod events;
 mod lines;
-mod usage;
+mod process_usage;
 
 pub use events::{Event, Events, merge, read_lines, to_chrome, to_text};
 pub use lines::Lines;
 
 use log::LevelFilter;
 use metrics_exporter_prometheus::PrometheusBuilder;
-pub use usage::{Usage, usage};
+pub use process_usage::{ProcessUsage, process_usage};
 
 pub use metrics_exporter_prometheus::PrometheusHandle as Metrics;
 use snafu::{ResultExt, Snafu};
--- a/crates/trace/src/lines.rs
+++ b/crates/trace/src/lines.rs
@@ -12,7 +12,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// Lines that may wait for the writer: about a second of the busiest process.
-const RING: usize = 4096;
+const RING_CAPACITY: usize = 4096;
 
 /// The process's lines. Cheap to clone.
 #[derive(Clone)]
@@ -25,15 +25,15 @@
 impl Lines {
     /// Starts the writer on standard output.
     pub fn start(process: &str) -> std::io::Result<Lines> {
-        let (ring, lines) = bounded(RING);
+        let (ring, lines) = bounded(RING_CAPACITY);
         std::thread::Builder::new()
             .name("lines".into())
             .spawn(move || write(&lines, std::io::stdout()))?;
-        Ok(Lines::over(process, ring))
+        Ok(Lines::with_sender(process, ring))
     }
 
     /// Lines into a ring of the caller's, for tests.
-    pub fn over(process: &str, ring: Sender<String>) -> Lines {
+    pub fn with_sender(process: &str, ring: Sender<String>) -> Lines {
         Lines {
             process: process.into(),
             ring,
@@ -66,7 +66,7 @@
     while let Ok(line) = lines.recv() {
         let mut batch = line;
         batch.push('\n');
-        for more in lines.try_iter().take(RING) {
+        for more in lines.try_iter().take(RING_CAPACITY) {
             batch.push_str(&more);
             batch.push('\n');
         }
--- a/crates/trace/src/usage.rs
+++ b/crates/trace/src/process_usage.rs
@@ -3,15 +3,15 @@
 use std::fs;
 
 /// Clock ticks a second in `/proc`; fixed on Linux.
-const TICKS: f64 = 100.0;
+const TICKS_PER_SECOND: f64 = 100.0;
 const PAGE_BYTES: u64 = 4096;
 /// Fields of `/proc/self/stat` after the name, from 0: user and system time.
-const USER: usize = 11;
-const SYSTEM: usize = 12;
+const UTIME_FIELD: usize = 11;
+const STIME_FIELD: usize = 12;
 
 /// Processor time and memory of this process.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Usage {
+pub struct ProcessUsage {
     /// Processor time in seconds, user and system.
     pub cpu_seconds: f64,
     /// Resident memory in bytes.
@@ -19,7 +19,7 @@
 }
 
 /// Reads it; zeros where the system does not tell.
-pub fn usage() -> Usage {
+pub fn process_usage() -> ProcessUsage {
     let stat = fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let after_name = stat.rsplit(')').next().unwrap_or("");
     let fields: Vec<&str> = after_name.split_whitespace().collect();
@@ -34,8 +34,8 @@
         .split_whitespace()
         .nth(1)
         .and_then(|p| p.parse::<u64>().ok());
-    Usage {
-        cpu_seconds: (ticks(USER) + ticks(SYSTEM)) / TICKS,
+    ProcessUsage {
+        cpu_seconds: (ticks(UTIME_FIELD) + ticks(STIME_FIELD)) / TICKS_PER_SECOND,
         resident_bytes: pages.unwrap_or(0) * PAGE_BYTES,
     }
 }
--- a/crates/wire/src/pack.rs
+++ b/crates/wire/src/compression.rs
@@ -6,20 +6,20 @@
 use std::io::{self, Read};
 
 /// Largest document that is unpacked, in bytes: bounds what a damaged one may claim.
-const LARGEST: u64 = 64 << 20;
+const MAX_DOCUMENT_BYTES: u64 = 64 << 20;
 
 /// Packs bytes.
-pub fn pack(bytes: &[u8]) -> io::Result<Vec<u8>> {
-    let mut packed = Vec::new();
-    ZlibEncoder::new(bytes, Compression::fast()).read_to_end(&mut packed)?;
-    Ok(packed)
+pub fn compress(bytes: &[u8]) -> io::Result<Vec<u8>> {
+    let mut compressed = Vec::new();
+    ZlibEncoder::new(bytes, Compression::fast()).read_to_end(&mut compressed)?;
+    Ok(compressed)
 }
 
 /// Unpacks what [`pack`] made.
-pub fn unpack(packed: &[u8]) -> io::Result<Vec<u8>> {
+pub fn decompress(compressed: &[u8]) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
-    ZlibDecoder::new(packed)
-        .take(LARGEST)
+    ZlibDecoder::new(compressed)
+        .take(MAX_DOCUMENT_BYTES)
         .read_to_end(&mut bytes)?;
     Ok(bytes)
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -2,9 +2,9 @@
 //! records, and settings as they stand in JSON. Domain types live with their
 //! crates and convert with `From` and `TryFrom`.
 
-mod pack;
+mod compression;
 
-pub use pack::{pack, unpack};
+pub use compression::{compress, decompress};
 
 /// Messages and stored records; source: `proto/messages.proto`.
 #[allow(missing_docs, clippy::all)]
