--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,6 +1,6 @@
-//! Links between the system's own processes: one inbox a process and one bounded,
-//! non-blocking link a peer. Loss is normal; ids, epochs and deadlines in the
-//! messages make it harmless. Nothing here resends.
+//! Messaging between the system's own processes: one inbox per process and one bounded,
+//! non-blocking link per peer. Messages may be lost; ids, epochs and deadlines in the messages
+//! make that harmless. This crate never retransmits.
 
 mod link;
 mod traffic;
@@ -22,28 +22,28 @@
 pub use traffic::{Disposition, Flow, Tally};
 pub use usage_reporter::UsageReporter;
 
-/// Messages that wait for the inbox's thread; beyond them the oldest are lost.
+/// Received messages queued for the inbox thread; on overflow the oldest are dropped.
 const INBOX_CAPACITY: i32 = 1024;
-/// Largest message taken, in bytes.
+/// Largest message accepted, in bytes.
 const MAX_MESSAGE_BYTES: usize = 64 << 20;
 
 /// Why the inbox could not be opened.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The library refused.
-    #[snafu(display("inbox {address}: {source}"))]
+    /// The messaging library returned an error.
+    #[snafu(display("failed to open inbox {address}: {source}"))]
     Open {
-        /// Where it was to listen.
+        /// Listen address.
         address: SocketAddr,
-        /// What the library said.
+        /// Error of the messaging library.
         source: nng::Error,
     },
 }
 
-/// Result of opening.
+/// Result of opening an inbox.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// A process's end of all its links. Cheap to clone.
+/// A process's inbox and its links to all peers. Cheap to clone.
 #[derive(Clone)]
 pub struct Net(Arc<Inner>);
 
@@ -57,8 +57,8 @@
 }
 
 impl Net {
-    /// Opens the inbox at `listen`, which others reach at `inbox`; `sink` gets each
-    /// message on the inbox's own thread and must not block for long.
+    /// Opens the inbox at `listen`, which peers reach at `inbox`. `sink` is called with each
+    /// message on the inbox thread and must not block for long.
     pub fn open(
         id: &str,
         incarnation: u64,
@@ -73,8 +73,9 @@
         Net::open_with_role(Role::Node, (id, incarnation), inbox, listen, deliver)
     }
 
-    /// Opens the inbox of a process that begins now: `put` takes each message into a bounded
-    /// ring, or says that it is full. What is lost there is counted, as loss on a link is.
+    /// Opens the inbox of a process that is starting, under a new random incarnation. `deliver`
+    /// puts each message into a bounded ring and returns `false` if that is full; messages
+    /// dropped there are counted, as those dropped on a link are.
     pub fn start(
         role: Role,
         id: &str,
@@ -102,7 +103,7 @@
             links: Mutex::default(),
             traffic: Mutex::default(),
         });
-        // Weak: the inbox's thread must not keep links open that nobody uses any more.
+        // A weak reference, so that the inbox thread does not keep unused links open.
         let incarnations = PeerIncarnations {
             known: HashMap::new(),
             inner: Arc::downgrade(&inner),
@@ -111,13 +112,13 @@
         Ok(Net(inner))
     }
 
-    /// Random number of this start of the process.
+    /// Random number that identifies this run of the process.
     pub fn incarnation(&self) -> u64 {
         self.0.incarnation
     }
 
-    /// Queues a message. `false` says that it was not queued, so no byte of it was
-    /// or will be sent; `true` says nothing about arrival.
+    /// Queues a message. `false` means that it was not queued, so no byte of it was or will be
+    /// sent; `true` does not imply delivery.
     pub fn send(&self, to: SocketAddr, body: Body) -> bool {
         let kind = kind_name(&body);
         let envelope = Envelope {
@@ -144,18 +145,18 @@
         sent
     }
 
-    /// Messages and bytes exchanged since the start of the process.
+    /// Messages and bytes sent and received since the process started.
     pub fn traffic(&self) -> Vec<(Flow, Tally)> {
         self.0.traffic().tallies()
     }
 
-    /// Peers that there is a link to.
+    /// Number of peers with an open link.
     pub fn link_count(&self) -> usize {
         self.0.links().len()
     }
 
-    /// Closes the link to a peer that is gone. What waited on it is dropped, so
-    /// that a peer that comes back is not handed minutes-old messages.
+    /// Closes the link to a peer that is gone. Queued messages are dropped, so that a peer that
+    /// returns does not receive messages that are minutes old.
     pub fn disconnect(&self, peer: SocketAddr) {
         if let Some(link) = self.0.links().remove(&peer) {
             link.close();
@@ -184,7 +185,7 @@
     }
 }
 
-/// Name of a message's kind, for counters.
+/// Label of a message's kind, for counters.
 fn kind_name(body: &Body) -> &'static str {
     match body {
         Body::Attach(_) => "attach",
@@ -229,12 +230,13 @@
     Ok(socket)
 }
 
-/// Which start of each peer was heard last.
+/// The last received incarnation of each peer, by inbox.
 ///
-/// A peer that lost power and is back says nothing of the connections it had, and the link to it
-/// goes on as if it stood until the next message on it is answered with a reset: that message is
-/// lost. Each relay of a group would lose its answer to a new leader in turn, which would not see its
-/// group for seconds. So a link ends as soon as its peer shows a new start.
+/// A peer that restarts after a power loss does not close its earlier connections. The link to it
+/// seems to be connected until the next message on it is answered with a reset, and that message is
+/// lost. Each relay of a group would lose its answer to a new leader in this way, one after the
+/// other, and the leader would not see its group for seconds. So a link is closed as soon as its
+/// peer sends a message with a new incarnation.
 struct PeerIncarnations {
     known: HashMap<String, u64>,
     inner: Weak<Inner>,
--- a/crates/net/src/link.rs
+++ b/crates/net/src/link.rs
@@ -1,12 +1,12 @@
-//! The way to one peer.
+//! The link to one peer.
 //!
-//! A link is a socket of the publishing kind, with one peer. Sockets of the pushing kind would
-//! queue by themselves, but the library has a fault in them: a connection that closes while the
-//! write of a message completes is put back among those that are ready, and then freed. The next
-//! send uses it, and the process aborts with `pthread_mutex_lock: Invalid argument`, mostly while
-//! peers stop. With eight cores and 24 busy threads three of five runs of 16,000 such ends aborted
-//! (`tests/links.rs`). A publishing socket marks closed connections, but drops what is sent before
-//! there is one; so that is kept here.
+//! A link is a PUB socket with a single peer. PUSH sockets would queue by themselves, but nng has a
+//! use-after-free in them: a connection that closes while the write of a message completes is put
+//! back on the list of ready connections and then freed. The next send uses it, and the process
+//! aborts with `pthread_mutex_lock: Invalid argument`, mostly while peers stop. With eight cores
+//! and 24 busy threads, three of five runs of 16,000 such disconnects aborted (`tests/links.rs`).
+//! A PUB socket marks closed connections, but drops messages that are sent before it is connected,
+//! so these are queued here.
 
 use nng::options::{Options, ReconnectMaxTime, ReconnectMinTime, SendBufferSize};
 use nng::{Pipe, PipeEvent, Protocol, Socket};
@@ -16,7 +16,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// Messages that a link holds while its peer does not take them, or is not there.
+/// Messages that a link queues while its peer does not read them or is not connected.
 const QUEUE_CAPACITY: usize = 1024;
 const RECONNECT_MIN: Duration = Duration::from_millis(20);
 const RECONNECT_MAX: Duration = Duration::from_millis(250);
@@ -29,15 +29,15 @@
 
 #[derive(Default)]
 struct State {
-    /// Connections that stand. The library may tell of the end of one after it told of the
-    /// next: a mere flag would then stand for none, and all messages would wait for ever.
+    /// Open connections. The library may report the close of a connection after the opening of
+    /// the next one; a flag would then say "disconnected", and all messages would wait forever.
     pipes: HashSet<Pipe>,
-    /// What was sent before there was a connection.
+    /// Messages sent before there was a connection.
     queued: VecDeque<Vec<u8>>,
 }
 
 impl Link {
-    /// Opens a link; the connection may come about later.
+    /// Opens a link; the connection may be established later.
     pub(crate) fn dial(to: SocketAddr) -> nng::Result<Arc<Link>> {
         let socket = Socket::new(Protocol::Pub0)?;
         socket.set_opt::<SendBufferSize>(QUEUE_CAPACITY as i32)?;
@@ -47,13 +47,13 @@
             socket,
             state: Mutex::default(),
         });
-        // Weak: the socket holds this function, and must not hold itself.
+        // A weak reference, since the socket owns this callback and must not own itself.
         let weak = Arc::downgrade(&link);
         link.socket.pipe_notify(move |pipe, event| {
             if let Some(link) = weak.upgrade() {
                 link.on_pipe_event(pipe, event);
-                // The last owner closes the socket, which waits for this very call to end: that
-                // one must be another thread.
+                // Dropping the last reference closes the socket, which waits for this callback
+                // to return, so it must happen on another thread.
                 if let Some(last) = Arc::into_inner(link) {
                     thread::spawn(move || drop(last));
                 }
@@ -63,7 +63,7 @@
         Ok(link)
     }
 
-    /// Queues a message; `false` where that is not possible. Never waits for the peer.
+    /// Queues a message and returns `false` if that is not possible. Never blocks on the peer.
     pub(crate) fn send(&self, bytes: Vec<u8>) -> bool {
         let mut state = self.lock_state();
         if !state.pipes.is_empty() {
@@ -76,7 +76,7 @@
         has_capacity
     }
 
-    /// Drops what still waits.
+    /// Closes the socket and drops the queued messages.
     pub(crate) fn close(&self) {
         self.lock_state().queued.clear();
         self.socket.close();
--- a/crates/net/src/traffic.rs
+++ b/crates/net/src/traffic.rs
@@ -1,44 +1,44 @@
-//! What a process exchanges with others, counted by kind of message and by the role of the peer: what
-//! grows faster than the number of peers shows nowhere else.
+//! Messages and bytes exchanged with peers, counted by message kind and role of the peer. Only
+//! these counts show traffic that grows faster than the number of peers.
 
 use bn_wire::messages::Role;
 use indexmap::IndexMap;
 use std::net::SocketAddr;
 
-/// What became of a message.
+/// What happened to a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Disposition {
-    /// Queued for its peer.
+    /// Queued for the peer.
     Sent,
-    /// Not queued, since the link was full.
+    /// Not queued, because the link was full.
     Refused,
-    /// Handed to this process.
+    /// Delivered to this process.
     Received,
-    /// Received, but this process had no room for it.
+    /// Received, but dropped because this process's ring was full.
     Dropped,
 }
 
-/// Messages that are counted together.
+/// Key of a counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Flow {
-    /// What became of them.
+    /// What happened to the messages.
     pub disposition: Disposition,
     /// Kind of message.
     pub kind: &'static str,
-    /// Role of the peer; none until it was heard of.
+    /// Role of the peer; `None` until a message from it was received.
     pub peer: Option<Role>,
 }
 
-/// How many they are, since the process started.
+/// Counts since the process started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Tally {
-    /// Messages.
+    /// Number of messages.
     pub messages: u64,
-    /// Bytes of them, without what the transport adds.
+    /// Number of bytes, without transport overhead.
     pub bytes: u64,
 }
 
-/// All counts of a process.
+/// All counters of a process.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Traffic {
     tallies: IndexMap<Flow, Tally>,
@@ -98,7 +98,7 @@
 }
 
 impl Disposition {
-    /// Its name on the metrics page and in lines.
+    /// Label in metrics and log lines.
     pub fn name(self) -> &'static str {
         match self {
             Disposition::Sent => "sent",
@@ -110,7 +110,7 @@
 }
 
 impl Flow {
-    /// Name of the peer's role.
+    /// Label of the peer's role in metrics and log lines.
     pub fn peer_name(&self) -> &'static str {
         match self.peer {
             None => "unheard",
--- a/crates/net/src/usage_reporter.rs
+++ b/crates/net/src/usage_reporter.rs
@@ -1,22 +1,22 @@
-//! What a process has used and exchanged, as a line now and then and on the metrics page.
+//! Resource usage and traffic of a process, as a periodic log line and as metrics.
 
 use crate::Net;
 use bn_trace::Lines;
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// Between two lines: a day has 8,640 of them, of some KB each.
+/// Interval between two lines: 8,640 lines a day, of a few KB each.
 const INTERVAL: Duration = Duration::from_secs(10);
 
-/// When the next line is due.
+/// Writes the `usage` line periodically.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct UsageReporter {
     next_report: Duration,
 }
 
 impl UsageReporter {
-    /// Writes the line if it is due. `queues` says how much waits in this process, and how much did at
-    /// the most.
+    /// Writes the line if it is due. `queues` returns the current and longest lengths of this
+    /// process's queues.
     pub fn report_if_due(
         &mut self,
         now: Duration,
@@ -38,7 +38,7 @@
     }
 }
 
-/// One flow as a part of the line; its counters are brought up to date.
+/// Returns one flow's part of the line, and updates the flow's metrics.
 fn flow_json((flow, tally): (crate::Flow, crate::Tally)) -> Value {
     let labels = [
         ("way", flow.disposition.name()),
--- a/crates/net/tests/links.rs
+++ b/crates/net/tests/links.rs
@@ -1,4 +1,4 @@
-//! Links to peers that come and go.
+//! Links to peers that disconnect and restart.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -15,15 +15,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Times that peers end while they are sent to.
-const ENDS: usize = 16_000;
-/// Threads that only take processor time: the library's own then fall behind each other.
-const BUSY: usize = 24;
-/// Peers that come and go side by side: frees and sends then meet more often.
+/// Number of disconnects of peers while messages are sent to them.
+const DISCONNECTS: usize = 16_000;
+/// Threads that only use CPU time, so that the library's own threads are delayed.
+const BUSY_THREADS: usize = 24;
+/// Peers that disconnect concurrently, which makes a free coincide with a send more often.
 const PEERS: usize = 32;
-/// Between two messages: each finds the one before it written, and the queue empty.
-const BETWEEN: Duration = Duration::from_micros(100);
-const WITHIN: Duration = Duration::from_secs(20);
+/// Interval between two messages; by then the earlier one is written and the queue empty.
+const SEND_INTERVAL: Duration = Duration::from_micros(100);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn free_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -36,46 +36,46 @@
     (address, net)
 }
 
-fn inbox(address: SocketAddr) -> Socket {
+fn open_inbox(address: SocketAddr) -> Socket {
     let socket = Socket::new(Protocol::Sub0).unwrap();
     socket.set_opt::<Subscribe>(Vec::new()).unwrap();
-    // The system may take a moment to free the port.
-    let until = Instant::now() + WITHIN;
+    // The system may take a moment to release the port.
+    let deadline = Instant::now() + TIMEOUT;
     while socket.listen(&format!("tcp://{address}")).is_err() {
-        assert!(Instant::now() < until, "{address} stays taken");
+        assert!(Instant::now() < deadline, "{address} is still in use");
         thread::sleep(Duration::from_millis(1));
     }
     socket
 }
 
-/// What an inbox answers when a link opens: the messaging library's greeting, of its kind.
-const GREETING: [u8; 8] = [0, b'S', b'P', 0, 0, 0x21, 0, 0];
+/// The SP protocol header that an inbox sends when a link connects, with the type of its socket.
+const SP_HEADER: [u8; 8] = [0, b'S', b'P', 0, 0, 0x21, 0, 0];
 
-/// Takes connections, and ends each of them some hundred microseconds later, whatever is under
-/// way.
-fn end_again_and_again(listener: &TcpListener) {
-    for turn in 0..ENDS / PEERS {
+/// Accepts connections and closes each of them up to some hundred microseconds later, even in the
+/// middle of a message.
+fn accept_and_close_repeatedly(listener: &TcpListener) {
+    for round in 0..DISCONNECTS / PEERS {
         let (mut stream, _) = listener.accept().unwrap();
-        stream.write_all(&GREETING).unwrap();
-        if turn % 64 == 0 {
-            // Its greeting, and the first bytes of a message.
+        stream.write_all(&SP_HEADER).unwrap();
+        if round % 64 == 0 {
+            // The link's SP header and the first bytes of a message.
             stream.read_exact(&mut [0; 16]).unwrap();
         }
-        thread::sleep(Duration::from_micros(turn as u64 % 8 * 100));
+        thread::sleep(Duration::from_micros(round as u64 % 8 * 100));
     }
 }
 
-fn process(inbox: SocketAddr, incarnation: u64) -> Net {
+fn open_process(inbox: SocketAddr, incarnation: u64) -> Net {
     Net::open("p", incarnation, inbox, free_address(), |_| ()).unwrap()
 }
 
-/// The next connection to an inbox, greeted; none where there is none in time.
-fn connection(listener: &TcpListener) -> Option<std::net::TcpStream> {
-    let until = Instant::now() + Duration::from_secs(5);
+/// Accepts the next connection to an inbox and sends the SP header; `None` on timeout.
+fn accept_connection(listener: &TcpListener) -> Option<std::net::TcpStream> {
+    let deadline = Instant::now() + Duration::from_secs(5);
     listener.set_nonblocking(true).unwrap();
-    while Instant::now() < until {
+    while Instant::now() < deadline {
         if let Ok((mut stream, _)) = listener.accept() {
-            stream.write_all(&GREETING).unwrap();
+            stream.write_all(&SP_HEADER).unwrap();
             return Some(stream);
         }
         thread::sleep(Duration::from_millis(2));
@@ -83,50 +83,48 @@
     None
 }
 
-/// Symptom: a new leader hears nothing of its group for ten seconds. Sequence: its instance lost
-/// power and is back; to the relays, their connections to it still stand, and the first answer of
-/// each goes into one of those. Cause: only a failed send ended such a connection.
+/// Guards against a new leader that receives nothing from its group for ten seconds: its instance
+/// restarted after a power loss, the relays' old connections to it still seemed open, and the first
+/// answer of each relay was lost on one of them, since only a failed send closed such a connection.
 #[googletest::test]
-fn a_link_to_an_earlier_start_of_a_peer_is_not_used() {
+fn a_link_to_an_earlier_incarnation_of_a_peer_is_not_used() {
     let peer = TcpListener::bind("127.0.0.1:0").unwrap();
     let inbox = peer.local_addr().unwrap();
     let address = free_address();
-    let (heard, news) = std::sync::mpsc::channel();
+    let (received, incarnations) = std::sync::mpsc::channel();
     let net = Net::start(Role::Node, "a", address, address, move |e| {
-        heard.send(e.incarnation).is_ok()
+        received.send(e.incarnation).is_ok()
     });
     let net = net.unwrap();
-    let tell = |incarnation: u64| {
-        let process = process(inbox, incarnation);
+    let send_from_peer = |incarnation: u64| {
+        let process = open_process(inbox, incarnation);
         process.send(address, Body::News(News::default()));
-        let told = news.recv_timeout(WITHIN).unwrap();
-        assert_eq!(told, incarnation);
+        let seen = incarnations.recv_timeout(TIMEOUT).unwrap();
+        assert_eq!(seen, incarnation);
     };
 
-    tell(1);
+    send_from_peer(1);
     net.send(inbox, Body::News(News::default()));
-    // It stands for good, and nobody reads it.
-    let earlier = connection(&peer);
-    tell(2);
+    // This connection stays open, and nothing reads from it.
+    let earlier = accept_connection(&peer);
+    send_from_peer(2);
     net.send(inbox, Body::News(News::default()));
-    let later = connection(&peer);
+    let later = accept_connection(&peer);
 
     expect_true!(earlier.is_some());
     expect_true!(later.is_some());
 }
 
-/// Symptom: a process aborts with `pthread_mutex_lock: Invalid argument` while others stop.
-/// Sequence: a peer ends its inbox while a message to it is being written; the write succeeds
-/// just as the connection closes; the next message to that peer is sent. Cause: the links'
-/// library puts the closed connection back among those that are ready, frees it, and the next
-/// send uses it.
+/// Guards against an abort with `pthread_mutex_lock: Invalid argument` while peers stop: a write to
+/// a peer succeeds just as the connection closes, the messaging library puts the closed connection
+/// back on its list of ready ones and frees it, and the next send to that peer uses it.
 #[googletest::test]
-fn sends_to_peers_that_end_do_not_abort() {
+fn sends_to_disconnecting_peers_do_not_abort() {
     let (_, net) = open();
-    let over = Arc::new(AtomicBool::new(false));
-    let busy = (0..BUSY).map(|_| over.clone());
+    let stop = Arc::new(AtomicBool::new(false));
+    let busy = (0..BUSY_THREADS).map(|_| stop.clone());
     let busy: Vec<_> = busy
-        .map(|over| thread::spawn(move || while !over.load(Ordering::Relaxed) {}))
+        .map(|stop| thread::spawn(move || while !stop.load(Ordering::Relaxed) {}))
         .collect();
     let listeners: Vec<_> = (0..PEERS)
         .map(|_| TcpListener::bind("127.0.0.1:0").unwrap())
@@ -134,36 +132,36 @@
     let senders: Vec<_> = listeners
         .iter()
         .map(|listener| {
-            let (net, over) = (net.clone(), over.clone());
+            let (net, stop) = (net.clone(), stop.clone());
             let address = listener.local_addr().unwrap();
             thread::spawn(move || {
-                while !over.load(Ordering::Relaxed) {
+                while !stop.load(Ordering::Relaxed) {
                     net.send(address, Body::News(News::default()));
-                    thread::sleep(BETWEEN);
+                    thread::sleep(SEND_INTERVAL);
                 }
             })
         })
         .collect();
     let peers: Vec<_> = listeners
         .into_iter()
-        .map(|l| thread::spawn(move || end_again_and_again(&l)))
+        .map(|l| thread::spawn(move || accept_and_close_repeatedly(&l)))
         .collect();
 
-    let ended = peers.into_iter().all(|p| p.join().is_ok());
-    over.store(true, Ordering::Relaxed);
+    let completed = peers.into_iter().all(|p| p.join().is_ok());
+    stop.store(true, Ordering::Relaxed);
     let others = senders.into_iter().chain(busy);
     others.for_each(|t| t.join().unwrap());
 
-    expect_true!(ended);
+    expect_true!(completed);
 }
 
-/// Symptom: nothing reaches a peer any more that was restarted. Sequence: it ends, is silent
-/// for a while, and opens its inbox again. Cause: the link to its earlier start is used up.
+/// Guards against a restarted peer that receives nothing any more: it closes its inbox, is away for
+/// a while and opens the inbox again, but the link to its earlier incarnation no longer works.
 #[googletest::test]
-fn a_peer_that_is_back_is_reached_again() {
+fn a_restarted_peer_is_reached_again() {
     let (_, net) = open();
     let address = free_address();
-    let first = inbox(address);
+    let first = open_inbox(address);
     net.send(address, Body::News(News::default()));
     first.recv().unwrap();
     first.close();
@@ -172,41 +170,41 @@
         thread::sleep(Duration::from_millis(5));
     }
 
-    let second = inbox(address);
-    let over = Arc::new(AtomicBool::new(false));
-    let (ended, sender) = (over.clone(), net.clone());
+    let second = open_inbox(address);
+    let stop = Arc::new(AtomicBool::new(false));
+    let (stopped, sender) = (stop.clone(), net.clone());
     let sending = thread::spawn(move || {
-        while !ended.load(Ordering::Relaxed) {
+        while !stopped.load(Ordering::Relaxed) {
             sender.send(address, Body::News(News::default()));
             thread::sleep(Duration::from_millis(5));
         }
     });
-    let heard = second.recv();
-    over.store(true, Ordering::Relaxed);
+    let received = second.recv();
+    stop.store(true, Ordering::Relaxed);
     sending.join().unwrap();
 
-    expect_that!(heard.is_ok(), eq(true));
+    expect_that!(received.is_ok(), eq(true));
 }
 
-/// Symptom: a process does not end, or a thread stands still for good. Sequence: the last owner of
-/// a link lets go of it just as its connection comes about. Cause: the library's own thread closed
-/// the socket, and waited for itself.
+/// Guards against a deadlock of a thread, or a process that does not exit: the last reference to a
+/// link was dropped just as its connection was established, and the messaging library's own thread
+/// closed the socket and waited for itself.
 #[googletest::test]
-fn links_that_are_let_go_while_they_connect_do_not_stand_still() {
+fn links_that_are_dropped_while_they_connect_do_not_deadlock() {
     let address = free_address();
-    let peer = inbox(address);
-    let (done, ended) = std::sync::mpsc::channel();
+    let peer = open_inbox(address);
+    let (done, finished) = std::sync::mpsc::channel();
     let opening = thread::spawn(move || {
-        for turn in 0..300u64 {
+        for round in 0..300u64 {
             let (_, net) = open();
             net.send(address, Body::News(News::default()));
-            thread::sleep(Duration::from_micros(turn % 10 * 50));
+            thread::sleep(Duration::from_micros(round % 10 * 50));
             drop(net);
         }
         done.send(()).unwrap();
     });
 
-    let in_time = ended.recv_timeout(WITHIN);
+    let in_time = finished.recv_timeout(TIMEOUT);
 
     expect_that!(in_time.is_ok(), eq(true));
     opening.join().unwrap();
--- a/crates/net/tests/traffic.rs
+++ b/crates/net/tests/traffic.rs
@@ -1,4 +1,4 @@
-//! What is exchanged with others, by kind of message and role of the peer.
+//! Traffic counts by message kind and role of the peer.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -9,16 +9,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const WITHIN: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 fn free_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
 }
 
-fn process(role: Role, takes: bool) -> (SocketAddr, Net) {
+fn process(role: Role, accepts: bool) -> (SocketAddr, Net) {
     let address = free_address();
-    let net = Net::start(role, "p", address, address, move |_| takes).unwrap();
+    let net = Net::start(role, "p", address, address, move |_| accepts).unwrap();
     (address, net)
 }
 
@@ -37,18 +37,18 @@
     all.into_iter().find(|(f, _)| *f == flow).map(|(_, t)| t)
 }
 
-fn until_messages(
+fn wait_for_messages(
     net: &Net,
     disposition: Disposition,
     kind: &'static str,
     peer: Option<Role>,
 ) -> Tally {
-    let until = Instant::now() + WITHIN;
+    let deadline = Instant::now() + TIMEOUT;
     loop {
         match tally(net, disposition, kind, peer) {
             Some(tally) => return tally,
             None => assert!(
-                Instant::now() < until,
+                Instant::now() < deadline,
                 "no {kind} {disposition:?} of {peer:?}"
             ),
         }
@@ -57,19 +57,19 @@
 }
 
 #[googletest::test]
-fn messages_are_counted_by_way_kind_and_role_of_the_peer() {
-    let (at_gateway, gateway) = process(Role::Gateway, true);
-    let (at_coordinator, coordinator) = process(Role::Coordinator, true);
+fn messages_are_counted_by_disposition_kind_and_role_of_the_peer() {
+    let (gateway_address, gateway) = process(Role::Gateway, true);
+    let (coordinator_address, coordinator) = process(Role::Coordinator, true);
 
-    gateway.send(at_coordinator, Body::NewsAsk(NewsAsk::default()));
-    let asked = until_messages(
+    gateway.send(coordinator_address, Body::NewsAsk(NewsAsk::default()));
+    let requests = wait_for_messages(
         &coordinator,
         Disposition::Received,
         "news_ask",
         Some(Role::Gateway),
     );
-    coordinator.send(at_gateway, Body::News(News::default()));
-    let told = until_messages(
+    coordinator.send(gateway_address, Body::News(News::default()));
+    let updates = wait_for_messages(
         &gateway,
         Disposition::Received,
         "news",
@@ -77,34 +77,34 @@
     );
 
     let sent = tally(&coordinator, Disposition::Sent, "news", Some(Role::Gateway));
-    expect_that!(sent, some(eq(told)));
-    // Nothing had been heard of the coordinator when it was asked.
-    let ask = tally(&gateway, Disposition::Sent, "news_ask", None);
-    expect_that!(ask, some(eq(asked)));
-    expect_that!(asked.messages, eq(1));
-    expect_that!(asked.bytes, gt(0));
+    expect_that!(sent, some(eq(updates)));
+    // Nothing had been received from the coordinator when this message was sent.
+    let request = tally(&gateway, Disposition::Sent, "news_ask", None);
+    expect_that!(request, some(eq(requests)));
+    expect_that!(requests.messages, eq(1));
+    expect_that!(requests.bytes, gt(0));
 }
 
-/// Guards against a process that is too busy to take messages and does not show it.
+/// Guards against a process that is too busy to accept messages without any sign of it.
 #[googletest::test]
-fn messages_that_found_no_room_are_counted_as_lost() {
+fn messages_that_exceed_the_capacity_are_counted_as_dropped() {
     let (_, gateway) = process(Role::Gateway, true);
-    let (at_coordinator, coordinator) = process(Role::Coordinator, false);
+    let (coordinator_address, coordinator) = process(Role::Coordinator, false);
 
-    gateway.send(at_coordinator, Body::NewsAsk(NewsAsk::default()));
+    gateway.send(coordinator_address, Body::NewsAsk(NewsAsk::default()));
 
-    let lost = until_messages(
+    let dropped = wait_for_messages(
         &coordinator,
         Disposition::Dropped,
         "news_ask",
         Some(Role::Gateway),
     );
-    expect_that!(lost.messages, eq(1));
-    let taken = tally(
+    expect_that!(dropped.messages, eq(1));
+    let received = tally(
         &coordinator,
         Disposition::Received,
         "news_ask",
         Some(Role::Gateway),
     );
-    expect_that!(taken, none());
+    expect_that!(received, none());
 }
