--- a/crates/store/src/atomic_file.rs
+++ b/crates/store/src/atomic_file.rs
@@ -1,4 +1,4 @@
-//! A small file beside the log, replaced whole.
+//! A small file in the data directory that is replaced atomically.
 
 use crate::disk::Disk;
 use crate::frame;
@@ -7,20 +7,20 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// A file whose content is replaced at once and lasts once a write has returned.
+/// A file whose content is replaced atomically and is durable once a write has returned.
 pub struct AtomicFile {
     path: PathBuf,
     disk: Disk,
 }
 
 impl AtomicFile {
-    /// The file `name` of a data directory.
+    /// Returns the file `name` of a data directory.
     pub fn new(directory: &Path, name: &str, disk: Disk) -> AtomicFile {
         let path = directory.join(name);
         AtomicFile { path, disk }
     }
 
-    /// What was written last; none where nothing was.
+    /// Reads the content that was written last, if any.
     pub fn read(&self) -> Result<Option<Vec<u8>>> {
         let path = &self.path;
         let bytes = match std::fs::read(path) {
@@ -36,7 +36,7 @@
         Ok(Some(frame::decode(&bytes).context(damaged)?.to_vec()))
     }
 
-    /// Replaces the content: after a crash the old or the new one stands there, whole.
+    /// Replaces the content: after a crash the file has the complete old or the complete new one.
     pub fn write(&mut self, content: &[u8]) -> Result<()> {
         let bytes = frame::encode(content);
         let written = self.disk.replace(&self.path, &bytes);
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,24 +1,24 @@
-//! The few disk operations the store makes, each announced first, so that a test
-//! can fail or stop at any of them.
+//! The disk operations of the store. A callback runs before each of them, so that a test can make
+//! any of them fail.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::Path;
 
-/// A disk operation about to happen.
+/// A disk operation that is about to run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DiskOperation {
-    /// Bytes go to a file.
+    /// Write to a file.
     Write,
-    /// A file's bytes are synced.
+    /// Sync a file.
     Sync,
-    /// A file takes another's name.
+    /// Rename a file over another.
     Rename,
-    /// A directory is synced, so that names in it last.
+    /// Sync a directory, so that the names in it are durable.
     SyncDirectory,
 }
 
-/// Announces each operation; an error from it is the operation's error.
+/// Runs disk operations, each after a callback; an error of the callback is the operation's error.
 pub struct Disk(Box<dyn FnMut(DiskOperation) -> io::Result<()> + Send>);
 
 impl Default for Disk {
@@ -28,7 +28,7 @@
 }
 
 impl Disk {
-    /// A disk whose operations `check` may fail.
+    /// Returns a disk that calls `check` before each operation.
     pub fn new(check: impl FnMut(DiskOperation) -> io::Result<()> + Send + 'static) -> Disk {
         Disk(Box::new(check))
     }
@@ -40,8 +40,8 @@
         file.sync_data()
     }
 
-    /// Replaces `path` by a file with these bytes: after a crash either the old or
-    /// the new content stands there, whole.
+    /// Atomically replaces the content of `path`: after a crash the file has either the complete
+    /// old or the complete new content.
     pub(crate) fn replace(&mut self, path: &Path, bytes: &[u8]) -> io::Result<()> {
         let temporary = path.with_extension("new");
         let mut file = OpenOptions::new()
@@ -59,9 +59,9 @@
         sync_directory(path)
     }
 
-    /// Makes what a process before this one wrote last: it may have been killed between a
-    /// write and its sync. Read back without this, it would be acknowledged to others as
-    /// synced, and a power loss would take it.
+    /// Syncs what an earlier process wrote, since it may have been killed between a write and its
+    /// sync. Without this, content that was read back would be acknowledged to others as durable,
+    /// and a power loss could destroy it.
     pub(crate) fn sync_existing(&mut self, file: &File, path: &Path) -> io::Result<()> {
         (self.0)(DiskOperation::Sync)?;
         file.sync_all()?;
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -1,12 +1,12 @@
-//! Frames of the log file. One frame is one synced write, so a crash can tear only
-//! the last: magic, length, checksum of these two, checksum of the payload, payload.
+//! Frames of the log file: magic, length, checksum of these two, checksum of the payload,
+//! payload. One frame is one synced write, so a crash can tear only the last.
 
 /// Marks the start of a frame.
 const MAGIC: u32 = 0x424e_4c31;
-/// Bytes before the payload.
+/// Size of the header before the payload.
 pub(crate) const HEADER_BYTES: usize = 16;
 
-/// The bytes of a frame around `payload`.
+/// Encodes a frame with this payload.
 pub(crate) fn encode(payload: &[u8]) -> Vec<u8> {
     let mut header = Vec::with_capacity(HEADER_BYTES + payload.len());
     header.extend_from_slice(&MAGIC.to_le_bytes());
@@ -18,7 +18,7 @@
     header
 }
 
-/// The payload of the frame that starts `bytes`, if it is whole.
+/// Returns the payload of the frame at the start of `bytes`, if it is complete and undamaged.
 pub(crate) fn decode(bytes: &[u8]) -> Option<&[u8]> {
     let header = bytes.get(..HEADER_BYTES)?;
     let word = |at: usize| {
@@ -35,8 +35,9 @@
     (crc32c::crc32c(payload) == word(12)?).then_some(payload)
 }
 
-/// A whole frame stands somewhere in `bytes`. After a bad frame this tells damage
-/// (later writes were synced, so this one had been too) from a torn last write.
+/// Returns whether `bytes` contain a complete frame at any offset. After a bad frame this
+/// distinguishes damage (later writes were synced, so this one had been too) from a torn last
+/// write.
 pub(crate) fn contains_complete_frame(bytes: &[u8]) -> bool {
     let magic = MAGIC.to_le_bytes();
     let starts = bytes
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,5 +1,5 @@
-//! The data directory of a control replica: identity, log and snapshot. Everything is
-//! synced before a call returns. A torn last write is cut; earlier damage refuses.
+//! The data directory of a control replica: identity, log and snapshot. Everything is synced
+//! before a call returns. A torn last write is truncated; earlier damage is an error.
 
 mod atomic_file;
 mod disk;
@@ -13,31 +13,31 @@
 use snafu::Snafu;
 use std::path::PathBuf;
 
-/// Why the data directory cannot be used (further).
+/// Why the data directory cannot be used, or not any longer.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// The file system failed; nothing after it can be trusted to be on disk.
+    /// A file system operation failed; later ones cannot be trusted to reach the disk.
     #[snafu(display("{}: {source}", path.display()))]
     Io {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A part that was synced is damaged: this replica has forgotten something it
-    /// promised, so it must not vote. Empty the directory to join again as a new one.
+    /// Synced content is damaged: this replica has lost something that it promised, so it must not
+    /// vote. Empty the directory to join again as a new replica.
     #[snafu(display("{}: damaged at byte {offset}: {reason}", path.display()))]
     Damaged {
         /// The file.
         path: PathBuf,
-        /// Where.
+        /// Byte offset of the damage.
         offset: u64,
-        /// What is wrong.
+        /// Kind of damage.
         reason: String,
     },
-    /// An earlier write or sync failed; that is final for this process.
-    #[snafu(display("the data directory failed earlier; restart the process"))]
+    /// An earlier write or sync failed, after which this process makes no more of them.
+    #[snafu(display("an earlier write to the data directory failed; restart the process"))]
     Failed,
 }
 
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,4 +1,4 @@
-//! Loading and writing the data directory.
+//! Loads and writes the data directory.
 
 use crate::disk::Disk;
 use crate::frame;
@@ -14,18 +14,18 @@
 const SNAPSHOT: &str = "snapshot";
 const IDENTITY: &str = "identity";
 
-/// What a data directory held.
+/// Content of a data directory when it was opened.
 #[derive(Debug, Default, PartialEq)]
 pub struct LoadedState {
-    /// Random number of this directory, new where it was empty.
+    /// Random number that identifies this directory; new if the directory was empty.
     pub identity: u64,
     /// Last hard state.
     pub hard: HardState,
     /// Last snapshot.
     pub snapshot: Option<Snapshot>,
-    /// Entries after it.
+    /// Log entries after the snapshot.
     pub entries: Vec<LogEntry>,
-    /// Bytes of a torn last write that were cut.
+    /// Bytes of a torn last write that were truncated.
     pub truncated_bytes: u64,
 }
 
@@ -36,13 +36,13 @@
     hard: HardState,
     disk: Disk,
     failed: bool,
-    /// Bytes in the log file.
+    /// Size of the log file.
     log_bytes: u64,
 }
 
 impl Store {
-    /// Opens the directory, making it where it is missing. `fresh` is the identity it
-    /// gets if it has none.
+    /// Opens the directory, or creates it if it is missing. `new_identity` becomes its identity if
+    /// it has none.
     pub fn open(
         directory: &Path,
         new_identity: u64,
@@ -85,7 +85,7 @@
         ))
     }
 
-    /// Appends one batch and syncs it: all of it lasts, or none.
+    /// Appends one batch and syncs it: either all of it is durable or none.
     pub fn append(&mut self, batch: &Batch) -> Result<()> {
         if let Some(hard) = &batch.hard {
             self.hard = hard.clone();
@@ -97,8 +97,8 @@
         Ok(())
     }
 
-    /// Replaces the snapshot, then the log by the entries that follow it. A crash in
-    /// between leaves a log whose covered part is passed over at the next start.
+    /// Replaces the snapshot, and then the log by the entries that follow it. A crash in between
+    /// leaves a log with entries that the snapshot covers; the next start skips these.
     pub fn replace_snapshot(&mut self, snapshot: &Snapshot, entries: Vec<LogEntry>) -> Result<()> {
         let path = self.directory.join(SNAPSHOT);
         let bytes = frame::encode(&snapshot.encode_to_vec());
@@ -116,13 +116,14 @@
         Ok(())
     }
 
-    /// Bytes in the log file.
+    /// Size of the log file in bytes.
     pub fn log_bytes(&self) -> u64 {
         self.log_bytes
     }
 
-    /// After a failed write or sync the kernel may have dropped the pages and a
-    /// later sync would succeed without them; so the first failure is final.
+    /// Runs a write unless an earlier one failed. After a failed write or sync the kernel may have
+    /// dropped the dirty pages, and a later sync would succeed without them; so the first failure
+    /// is final.
     fn run_unless_failed(
         &mut self,
         path: &Path,
@@ -141,7 +142,7 @@
         let damaged = DamagedSnafu {
             path: &path,
             offset: 0u64,
-            reason: "not an identity",
+            reason: "the identity file is not valid",
         };
         let payload = frame::decode(&bytes).context(damaged)?;
         return payload
@@ -150,10 +151,10 @@
             .map(u64::from_le_bytes)
             .context(damaged);
     }
-    // A log or snapshot without an identity is a directory that lost a file.
+    // A directory with a log or snapshot but no identity has lost its identity file.
     for name in [LOG, SNAPSHOT] {
         let path = directory.join(name);
-        let reason = "there is no identity file beside it";
+        let reason = "the identity file is missing";
         ensure!(
             !path.exists(),
             DamagedSnafu {
@@ -195,13 +196,14 @@
         .map(Some)
 }
 
-/// The whole frames, and the length they take. What follows must be a torn write.
+/// Returns the batches of the complete frames and the total size of these frames. Anything after
+/// them must be a torn last write.
 fn read_log(path: &Path, bytes: &[u8]) -> Result<(Vec<Batch>, usize)> {
     let (mut batches, mut offset) = (Vec::new(), 0);
     while let Some(rest) = bytes.get(offset..).filter(|r| !r.is_empty()) {
         let Some(payload) = frame::decode(rest) else {
             let later = rest.get(1..).is_some_and(frame::contains_complete_frame);
-            let reason = "a synced write is damaged and later ones are whole";
+            let reason = "a synced write is damaged, and a later one is complete";
             ensure!(
                 !later,
                 DamagedSnafu {
@@ -213,7 +215,7 @@
             break;
         };
         let batch = Batch::decode(payload).ok();
-        let reason = "the checksum holds but the content does not decode";
+        let reason = "the checksum matches, but the content cannot be decoded";
         batches.push(batch.context(DamagedSnafu {
             path,
             offset: offset as u64,
@@ -242,7 +244,7 @@
     (hard, entries)
 }
 
-/// Entries must follow the snapshot without a gap.
+/// Checks that the entries follow the snapshot without a gap.
 fn ensure_contiguous(path: &Path, snapshot_index: u64, entries: &[LogEntry]) -> Result<()> {
     let contiguous = entries
         .iter()
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -1,4 +1,4 @@
-//! The data directory under crashes at every point, full disks and damage.
+//! The data directory under crashes at every disk operation, full disks and damage.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -51,13 +51,13 @@
     Store::open(path, IDENTITY, Disk::default())
 }
 
-fn last(loaded: &LoadedState) -> u64 {
+fn last_index(loaded: &LoadedState) -> u64 {
     let covered = loaded.snapshot.as_ref().map_or(0, |s| s.index);
     loaded.entries.last().map_or(covered, |e| e.index)
 }
 
 #[gtest]
-fn what_was_appended_comes_back() -> Result<()> {
+fn appended_entries_are_loaded_again() -> Result<()> {
     let dir = directory();
     let (mut store, _) = open(dir.path())?;
     store.append(&batch(1, 3))?;
@@ -70,33 +70,37 @@
     verify_that!(loaded.identity, eq(IDENTITY))
 }
 
-/// Symptom: a replica refuses to start after a power cut, or starts with half a
-/// write. Sequence: power fails while the last batch is written; any part of its
-/// bytes is on disk. Cause: the tail is not told from synced content.
+/// Guards against a replica that refuses to start, or starts with part of a write, after a power
+/// loss during the last batch left any part of its bytes on disk: the tail must be distinguished
+/// from synced content.
 #[gtest]
-fn a_torn_last_write_is_cut_at_every_byte() -> Result<()> {
+fn a_torn_last_write_is_truncated_at_every_byte() -> Result<()> {
     let dir = directory();
     let (mut store, _) = open(dir.path())?;
     store.append(&batch(1, 2))?;
-    let whole = store.log_bytes() as usize;
+    let complete_bytes = store.log_bytes() as usize;
     store.append(&batch(3, 4))?;
     let log = dir.path().join("log");
     let bytes = fs::read(&log)?;
 
-    for length in whole..bytes.len() {
+    for length in complete_bytes..bytes.len() {
         fs::write(&log, &bytes[..length])?;
         let (mut store, loaded) = open(dir.path())?;
-        expect_that!(last(&loaded), eq(2), "cut at byte {length}");
+        expect_that!(last_index(&loaded), eq(2), "truncated at byte {length}");
         store.append(&batch(3, 3))?;
         let (_, again) = open(dir.path())?;
-        expect_that!(last(&again), eq(3), "after a cut at byte {length}");
+        expect_that!(
+            last_index(&again),
+            eq(3),
+            "after a truncated at byte {length}"
+        );
     }
     Ok(())
 }
 
-/// Symptom: an acknowledged command is gone after a restart and nobody was told.
-/// Sequence: a synced part of the log rots; later writes are whole. Cause: the
-/// damage is taken for a torn tail and everything after it is cut.
+/// Guards against the silent loss of an acknowledged command on restart: a synced part of the log
+/// is corrupted, later writes are intact, and the damage is mistaken for a torn tail and truncated
+/// with everything after it.
 #[gtest]
 fn damage_before_the_last_write_is_refused_at_every_byte() -> Result<()> {
     let dir = directory();
@@ -108,9 +112,9 @@
     let bytes = fs::read(&log)?;
 
     for at in 0..first {
-        let mut rotten = bytes.clone();
-        rotten[at] ^= 0x55;
-        fs::write(&log, &rotten)?;
+        let mut damaged = bytes.clone();
+        damaged[at] ^= 0x55;
+        fs::write(&log, &damaged)?;
         let opened = open(dir.path());
         expect_true!(matches!(opened, Err(Error::Damaged { .. })), "byte {at}");
     }
@@ -137,9 +141,8 @@
     Ok(())
 }
 
-/// Symptom: a replica whose identity file is lost votes again under a new identity
-/// but with its old log. Sequence: the file is deleted by hand. Cause: a missing
-/// identity is taken for an empty directory.
+/// Guards against a replica that votes again under a new identity but with its old log: its
+/// identity file was deleted by hand, and the missing file is mistaken for an empty directory.
 #[gtest]
 fn a_log_without_identity_is_refused() -> Result<()> {
     let dir = directory();
@@ -152,7 +155,7 @@
     verify_true!(matches!(opened, Err(Error::Damaged { .. })))
 }
 
-/// A disk that fails at its operation number `at`, and at all later ones.
+/// Returns a disk that fails at operation number `at` and all later ones, and its operation count.
 fn failing(at: usize, kind: io::ErrorKind) -> (Disk, Arc<AtomicUsize>) {
     let count = Arc::new(AtomicUsize::new(0));
     let seen = count.clone();
@@ -165,57 +168,56 @@
     (disk, count)
 }
 
-/// Work that appends, snapshots and appends again; returns the last index that was
-/// acknowledged.
-fn work(path: &Path, disk: Disk) -> u64 {
-    let mut acked = 0;
+/// Appends, writes snapshots and appends again; returns the last acknowledged index.
+fn append_and_snapshot(path: &Path, disk: Disk) -> u64 {
+    let mut acknowledged = 0;
     let _ = (|| -> bn_store::Result<()> {
         let (mut store, _) = Store::open(path, IDENTITY, disk)?;
         for i in 1..=3 {
             store.append(&batch(i, i))?;
-            acked = i;
+            acknowledged = i;
         }
         store.replace_snapshot(&snapshot(2), vec![entry(3)])?;
         store.append(&batch(4, 5))?;
-        acked = 5;
+        acknowledged = 5;
         store.replace_snapshot(&snapshot(5), Vec::new())?;
         store.append(&batch(6, 6))?;
-        acked = 6;
+        acknowledged = 6;
         Ok(())
     })();
-    acked
+    acknowledged
 }
 
-/// Symptom: acknowledged entries are missing, or the directory does not open, after a
-/// crash. Sequence: power fails before any one disk operation, snapshots included.
-/// Cause: a step of the replacement of log and snapshot is out of order.
+/// Guards against missing acknowledged entries, or a directory that does not open, after a power
+/// loss before any single disk operation, snapshots included, due to a wrong order of the steps
+/// that replace the log and the snapshot.
 #[gtest]
 fn a_crash_before_any_disk_operation_loses_nothing_acknowledged() -> Result<()> {
     let (disk, count) = failing(usize::MAX, io::ErrorKind::Other);
     let dir = directory();
-    expect_that!(work(dir.path(), disk), eq(6));
+    expect_that!(append_and_snapshot(dir.path(), disk), eq(6));
     let operations = count.load(Ordering::Relaxed);
     expect_that!(operations, gt(20));
 
     for at in 0..operations {
         let dir = directory();
-        let acked = work(dir.path(), failing(at, io::ErrorKind::Other).0);
+        let acknowledged = append_and_snapshot(dir.path(), failing(at, io::ErrorKind::Other).0);
         let (_, loaded) = open(dir.path())?;
-        expect_that!(last(&loaded), ge(acked), "operation {at}");
+        expect_that!(last_index(&loaded), ge(acknowledged), "operation {at}");
     }
     Ok(())
 }
 
-/// Symptom: a vote or entry is acknowledged that is not on disk. Sequence: a sync
-/// fails, the next one succeeds without the lost pages. Cause: going on after it.
+/// Guards against acknowledging a vote or entry that is not on disk: a sync fails, the store
+/// continues, and the next sync succeeds without the lost pages.
 #[gtest]
 fn a_failed_write_or_sync_is_final() -> Result<()> {
     for kind in [io::ErrorKind::StorageFull, io::ErrorKind::Other] {
         for first in [DiskOperation::Write, DiskOperation::Sync] {
             let dir = directory();
             let mut armed = 0;
-            // Opening takes one write and two syncs, of the identity and of what was there;
-            // the next of its kind fails once.
+            // Opening makes one write and two syncs, of the identity and of the existing log; the
+            // next operation of the kind fails once.
             let opening = if first == DiskOperation::Write { 1 } else { 2 };
             let disk = Disk::new(move |step| {
                 armed += usize::from(step == first);
@@ -240,40 +242,40 @@
     Ok(())
 }
 
-/// Symptom: an acknowledged entry is gone after a power loss. Sequence: a process is killed
-/// between a write and its sync, the next one reads the entry back, answers for it, and
-/// the power goes. Cause: what was read was taken for synced.
+/// Guards against losing an acknowledged entry in a power loss: a process is killed between a write
+/// and its sync, the next one reads the entry back and acknowledges it as if it had been synced,
+/// and then the power fails.
 #[gtest]
-fn what_is_read_back_is_synced_before_it_is_used() -> Result<()> {
+fn existing_content_is_synced_before_it_is_used() -> Result<()> {
     let dir = directory();
     let (mut store, _) = open(dir.path())?;
     store.append(&batch(1, 1))?;
     drop(store);
-    let refusing = Disk::new(|step| match step {
+    let failing = Disk::new(|step| match step {
         DiskOperation::Sync => Err(io::Error::from(io::ErrorKind::Other)),
         _ => Ok(()),
     });
 
-    let opened = Store::open(dir.path(), IDENTITY, refusing);
+    let opened = Store::open(dir.path(), IDENTITY, failing);
 
     expect_true!(matches!(opened, Err(Error::Io { .. })));
     Ok(())
 }
 
-/// Symptom: a file beside the log is half of the old and half of the new content, or gone. Sequence: the
-/// process ends at each step of a write. Cause: it was written in place.
+/// Guards against an atomic file that mixes old and new content, or is missing, when the process
+/// terminates at any step of a write, because the file was written in place.
 #[gtest]
-fn a_side_file_holds_the_old_or_the_new_content_whole() -> Result<()> {
+fn an_atomic_file_has_the_complete_old_or_new_content() -> Result<()> {
     for steps in 0..4 {
         let directory = directory();
-        let mut side = AtomicFile::new(directory.path(), "side", Disk::default());
-        verify_that!(side.read().unwrap(), none())?;
-        side.write(b"old").unwrap();
+        let mut file = AtomicFile::new(directory.path(), "side", Disk::default());
+        verify_that!(file.read().unwrap(), none())?;
+        file.write(b"old").unwrap();
         let left = Arc::new(AtomicUsize::new(steps));
         let failing = Disk::new(move |_| {
             let left = left.fetch_sub(1, Ordering::Relaxed);
             match left {
-                0 => Err(io::Error::other("the process ends here")),
+                0 => Err(io::Error::other("simulated termination")),
                 _ => Ok(()),
             }
         });
@@ -281,23 +283,23 @@
         let written = AtomicFile::new(directory.path(), "side", failing).write(b"new");
 
         verify_that!(written, err(anything()))?;
-        let held = side.read().unwrap().unwrap();
-        // The last step makes the new name last; it stands there already.
+        let content = file.read().unwrap().unwrap();
+        // The last step makes the new name durable; the rename has already happened.
         let expected = if steps == 3 { b"new" } else { b"old" };
-        verify_that!(held.as_slice(), eq(expected.as_slice()))?;
+        verify_that!(content.as_slice(), eq(expected.as_slice()))?;
     }
     Ok(())
 }
 
 #[gtest]
-fn a_damaged_side_file_says_so() {
+fn a_damaged_atomic_file_is_reported() {
     let directory = directory();
-    let mut side = AtomicFile::new(directory.path(), "side", Disk::default());
-    side.write(b"content").unwrap();
+    let mut file = AtomicFile::new(directory.path(), "side", Disk::default());
+    file.write(b"content").unwrap();
     let path = directory.path().join("side");
     let mut bytes = fs::read(&path).unwrap();
     *bytes.last_mut().unwrap() ^= 1;
     fs::write(&path, bytes).unwrap();
 
-    expect_that!(side.read(), err(matches_pattern!(Error::Damaged { .. })));
+    expect_that!(file.read(), err(matches_pattern!(Error::Damaged { .. })));
 }
