--- a/crates/trace/src/events.rs
+++ b/crates/trace/src/events.rs
@@ -1,5 +1,5 @@
-//! Events of the time line: changes of state, stamped with a hybrid logical clock
-//! so that a cause sorts before its effect over all processes.
+//! Timeline events: state changes with a hybrid logical clock timestamp, so that a cause sorts
+//! before its effect across all processes.
 
 use crate::{FileSnafu, Result};
 use serde::{Deserialize, Serialize};
@@ -11,25 +11,25 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Events a process keeps in memory.
+/// Number of events a process keeps in memory.
 const RING_CAPACITY: usize = 4096;
-/// Bits of a stamp that count events within one millisecond.
+/// Low bits of a stamp, which count events within one millisecond.
 const COUNTER_BITS: u32 = 16;
 
-/// One change of state in one process.
+/// A state change in one process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// Hybrid logical clock: wall milliseconds << 16, then a counter.
+    /// Hybrid logical clock: wall clock milliseconds << 16, plus a counter.
     pub stamp: u64,
     /// Process id.
     pub process: String,
     /// What changed, such as `leader` or `drain`.
     pub kind: String,
-    /// Particulars for people.
+    /// Human-readable details.
     pub detail: String,
 }
 
-/// The bounded ring of one process, and its file where it has one.
+/// The bounded event ring of one process, and its optional file.
 pub struct Events {
     process: String,
     inner: Mutex<Inner>,
@@ -42,7 +42,7 @@
 }
 
 impl Events {
-    /// Opens the ring, and appends to `path` where one is given.
+    /// Creates the ring, and opens `path` for appending if it is given.
     pub fn open(process: &str, path: Option<&Path>) -> Result<Events> {
         let file = path.map(append_to).transpose()?;
         let inner = Inner {
@@ -56,7 +56,7 @@
         })
     }
 
-    /// Records a change of state, and logs it.
+    /// Records and logs a state change.
     pub fn note(&self, kind: &str, detail: impl Into<String>) {
         let detail = detail.into();
         log::info!("{kind}: {detail}");
@@ -72,7 +72,8 @@
             detail,
         };
         if let (Some(file), Ok(line)) = (inner.file.as_mut(), serde_json::to_string(&event)) {
-            // A full disk must not stop the process: the ring still has the event.
+            // Write errors are ignored: a full disk must not stop the process, and the ring still
+            // has the event.
             let _ = writeln!(file, "{line}");
         }
         if inner.ring.len() == RING_CAPACITY {
@@ -81,7 +82,7 @@
         inner.ring.push_back(event);
     }
 
-    /// The latest stamp, to send along with a message.
+    /// Returns the latest stamp, for sending with a message.
     pub fn stamp(&self) -> u64 {
         self.inner
             .lock()
@@ -89,8 +90,8 @@
             .last
     }
 
-    /// Takes in the stamp of a received message. A stamp further ahead than a
-    /// minute is ignored: one broken wall clock would drag every process along.
+    /// Advances the clock to the stamp of a received message. A stamp more than a minute ahead is
+    /// ignored: otherwise one broken wall clock would advance the clocks of all processes.
     pub fn observe(&self, stamp: u64) {
         const MAX_AHEAD_MS: u64 = 60_000;
         if stamp >> COUNTER_BITS > wall_ms() + MAX_AHEAD_MS {
@@ -100,14 +101,14 @@
         inner.last = inner.last.max(stamp);
     }
 
-    /// What the ring holds, oldest first.
+    /// Returns the events in the ring, oldest first.
     pub fn recent(&self) -> Vec<Event> {
         let inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         inner.ring.iter().cloned().collect()
     }
 }
 
-/// Milliseconds since 1970 by the wall clock; for people, never for decisions.
+/// Wall clock milliseconds since 1970; for display only, never for decisions.
 pub(crate) fn wall_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -123,7 +124,7 @@
         .context(FileSnafu { path: path_text })
 }
 
-/// Reads events from JSON lines; a torn or foreign line is passed over.
+/// Reads events from JSON lines, and skips truncated or unrelated lines.
 pub fn read_lines(path: &Path) -> Result<Vec<Event>> {
     let path_text = path.display().to_string();
     let file = File::open(path).context(FileSnafu { path: path_text })?;
@@ -135,14 +136,14 @@
         .collect())
 }
 
-/// One time line out of many: by stamp, then process; doubles removed.
+/// Merges timelines: sorts the events by stamp, then process, and removes duplicates.
 pub fn merge(mut events: Vec<Event>) -> Vec<Event> {
     events.sort_by(|a, b| (a.stamp, &a.process).cmp(&(b.stamp, &b.process)));
     events.dedup();
     events
 }
 
-/// The time line as text, a line an event, milliseconds since the first.
+/// Formats a timeline as text: one line per event, with milliseconds since the first.
 pub fn to_text(events: &[Event]) -> String {
     let start = events.first().map_or(0, |e| e.stamp >> COUNTER_BITS);
     let line = |e: &Event| {
@@ -155,7 +156,7 @@
     events.iter().map(line).collect()
 }
 
-/// The time line in the Chrome trace format.
+/// Formats a timeline in the Chrome trace format.
 pub fn to_chrome(events: &[Event]) -> String {
     let instant = |e: &Event| {
         let micros = (e.stamp >> COUNTER_BITS) * 1000 + (e.stamp & 0xffff).min(999);
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -1,5 +1,5 @@
-//! What a process shows of itself: log lines, counters, and the events of the
-//! time line. Counters come first; a log line or event marks a change of state.
+//! Observability of a process: log lines, metrics, and timeline events. Counters are preferred; a
+//! log line or event marks a state change.
 
 mod events;
 mod lines;
@@ -15,36 +15,36 @@
 pub use metrics_exporter_prometheus::PrometheusHandle as Metrics;
 use snafu::{ResultExt, Snafu};
 
-/// Why logging or metrics could not be set up, or events not read.
+/// Why logging or metrics could not be set up, or events could not be read.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// A logger was set before.
-    #[snafu(display("logging was already set up: {source}"))]
+    /// A logger was already installed.
+    #[snafu(display("failed to install the logger: {source}"))]
     Logger {
-        /// What `log` said.
+        /// Error of the `log` crate.
         source: log::SetLoggerError,
     },
-    /// A recorder was set before.
-    #[snafu(display("metrics were already set up: {what}"))]
+    /// A metrics recorder was already installed.
+    #[snafu(display("failed to install the metrics recorder: {message}"))]
     Recorder {
-        /// What the exporter said.
-        what: String,
+        /// Error message of the exporter.
+        message: String,
     },
-    /// The events file failed.
+    /// The events file could not be opened.
     #[snafu(display("events file {path}: {source}"))]
     File {
         /// The file.
         path: String,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// Result of setting up.
+/// Result of setting up, or of reading events.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Starts logging to stderr, as text or JSON lines.
+/// Installs a logger that writes text or JSON lines to stderr.
 pub fn start_log(id: &str, level: &str, json: bool) -> Result<()> {
     let id = id.to_string();
     let level = level.parse().unwrap_or(LevelFilter::Info);
@@ -67,7 +67,8 @@
         .context(LoggerSnafu)
 }
 
-/// Sends what libraries and rarer places log through the same lines.
+/// Installs a logger that writes the records of libraries and of infrequent log calls as
+/// structured `log` lines.
 pub fn start_lines_log(level: &str, lines: &Lines) -> Result<()> {
     let lines = lines.clone();
     let level = level.parse().unwrap_or(LevelFilter::Info);
@@ -84,11 +85,11 @@
         .context(LoggerSnafu)
 }
 
-/// Installs the metrics recorder; the handle renders the Prometheus page.
+/// Installs the metrics recorder; the returned handle renders the Prometheus page.
 pub fn start_metrics() -> Result<Metrics> {
     PrometheusBuilder::new()
         .install_recorder()
         .map_err(|e| Error::Recorder {
-            what: e.to_string(),
+            message: e.to_string(),
         })
 }
--- a/crates/trace/src/lines.rs
+++ b/crates/trace/src/lines.rs
@@ -1,8 +1,8 @@
-//! Structured lines on standard output: one JSON object a decision or change of belief.
+//! Structured log lines on standard output: one JSON object per decision or change of known state.
 //!
-//! The writer is a thread behind a bounded ring. Where the reader of standard output
-//! stalls, lines are dropped and counted, and the next line that gets through says how
-//! many: no request ever waits for a log.
+//! A thread writes the lines from a bounded ring. If the reader of standard output stalls, lines
+//! are dropped and counted, and the next line that is written has the count: no request ever
+//! waits for logging.
 
 use crate::events::wall_ms;
 use crossbeam::channel::{Receiver, Sender, bounded};
@@ -11,10 +11,10 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Lines that may wait for the writer: about a second of the busiest process.
+/// Maximum number of lines queued for the writer: about one second's output of the busiest process.
 const RING_CAPACITY: usize = 4096;
 
-/// The process's lines. Cheap to clone.
+/// Writes a process's structured log lines. Cheap to clone.
 #[derive(Clone)]
 pub struct Lines {
     process: Arc<str>,
@@ -23,7 +23,7 @@
 }
 
 impl Lines {
-    /// Starts the writer on standard output.
+    /// Starts the writer thread on standard output.
     pub fn start(process: &str) -> std::io::Result<Lines> {
         let (ring, lines) = bounded(RING_CAPACITY);
         std::thread::Builder::new()
@@ -32,7 +32,7 @@
         Ok(Lines::with_sender(process, ring))
     }
 
-    /// Lines into a ring of the caller's, for tests.
+    /// Sends the lines to a channel of the caller, for tests.
     pub fn with_sender(process: &str, ring: Sender<String>) -> Lines {
         Lines {
             process: process.into(),
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Writes one line; `fields` must be a JSON object.
+    /// Queues one line; `fields` must be a JSON object.
     pub fn put(&self, event: &str, fields: Value) {
         let mut line = Map::new();
         line.insert("ms".into(), wall_ms().into());
@@ -70,7 +70,7 @@
             batch.push_str(&more);
             batch.push('\n');
         }
-        // Nobody reads standard output any more: there is no other place to say so.
+        // Standard output has no reader any more, so the error can only be counted.
         if out.write_all(batch.as_bytes()).is_err() {
             metrics::counter!("log_write_errors_total").increment(1);
         }
--- a/crates/trace/src/process_usage.rs
+++ b/crates/trace/src/process_usage.rs
@@ -1,24 +1,24 @@
-//! What this process has used, from the system's own counters (Linux).
+//! Resource usage of this process, from `/proc` (Linux).
 
 use std::fs;
 
-/// Clock ticks a second in `/proc`; fixed on Linux.
+/// Clock ticks per second in `/proc`; fixed on Linux.
 const TICKS_PER_SECOND: f64 = 100.0;
 const PAGE_BYTES: u64 = 4096;
-/// Fields of `/proc/self/stat` after the name, from 0: user and system time.
+/// Fields of `/proc/self/stat` after the process name, from 0: user and system time.
 const UTIME_FIELD: usize = 11;
 const STIME_FIELD: usize = 12;
 
-/// Processor time and memory of this process.
+/// CPU time and memory of this process.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct ProcessUsage {
-    /// Processor time in seconds, user and system.
+    /// CPU time in seconds, user and system.
     pub cpu_seconds: f64,
     /// Resident memory in bytes.
     pub resident_bytes: u64,
 }
 
-/// Reads it; zeros where the system does not tell.
+/// Reads the usage; values that the system does not provide are zero.
 pub fn process_usage() -> ProcessUsage {
     let stat = fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let after_name = stat.rsplit(')').next().unwrap_or("");
