--- a/crates/gen/src/main.rs
+++ b/crates/gen/src/main.rs
@@ -1,5 +1,5 @@
-//! Writes the code of `bn-wire` from its schema. Not part of the default build:
-//! `cargo run -p bn-gen` after a change of `crates/wire/proto`; CI compares.
+//! Generates the code of `bn-wire` from its schema. Not part of the default build: run
+//! `cargo run -p bn-gen` after changing `crates/wire/proto`. CI compares the result.
 
 use std::error::Error;
 use std::path::PathBuf;
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,6 +1,6 @@
-//! The schema's generated types: messages between the system's processes, stored
-//! records, and settings as they stand in JSON. Domain types live with their
-//! crates and convert with `From` and `TryFrom`.
+//! Types generated from the schema: messages between the system's processes, stored records, and
+//! settings in their JSON form. Domain types are in their own crates and convert with `From` and
+//! `TryFrom`.
 
 mod compression;
 
