--- a/crates/serve/src/client.rs
+++ b/crates/serve/src/client.rs
@@ -1,8 +1,8 @@
-//! Connections to backend servers, kept for reuse.
+//! Connection pool for backend servers.
 //!
-//! An idle connection may be closed, or die without a word, at any time. A connection is
-//! used again only within a time well below what its backend server announced, and a
-//! request that finds it closed before a byte left is sent on another one.
+//! An idle connection may be closed, or break without notice, at any time. A connection is reused
+//! only within a time well below the idle timeout that its backend server announced, and a request
+//! that finds it closed before a byte was sent is sent on another one.
 
 use http_body_util::Full;
 use hyper::body::Bytes;
@@ -17,46 +17,45 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// Longest wait for a connection. Two round trips between failure domains take 4 ms; an
-/// opening packet that was dropped is repeated only after a second, so that another
-/// backend server is the faster way.
+/// Timeout for opening a connection. Two round trips between failure domains take 4 ms; a dropped
+/// SYN is retransmitted only after one second, so trying another backend server is faster.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Idle time after which a connection is not used again, where none was announced.
+/// Idle time after which a connection is not reused, if its backend server announced none.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Kept below the announced idle time by this much, for packets under way.
+/// Margin below the announced idle timeout, for packets in flight.
 const IDLE_MARGIN: Duration = Duration::from_millis(800);
-/// Idle connections kept for one backend server.
+/// Maximum number of idle connections to one backend server.
 const MAX_IDLE_PER_ADDRESS: usize = 8;
-/// Data that nobody acknowledges for this long means that the machine is gone.
+/// Time without acknowledgement of sent data after which the instance is considered gone.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// An open connection on which nothing comes is probed after and every so often.
+/// Time without received data before the first keepalive probe, and between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Unanswered probes after which it is dead: 3 s of silence of the machine itself, not
-/// of the backend server's work.
+/// Unanswered probes after which a connection is dead: 3 s without a reply from the instance's
+/// network stack, regardless of how long the backend server works on a request.
 const KEEPALIVE_RETRIES: u32 = 2;
 
-/// Why there is no connection.
+/// Why a connection could not be opened.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// Nobody took it in time.
+    /// The connection was not accepted in time.
     #[snafu(display("no connection within {} ms", CONNECT_TIMEOUT.as_millis()))]
     ConnectTimeout,
-    /// The other side, or the system, refused.
+    /// The peer or the operating system refused the connection.
     #[snafu(display("no connection: {source}"))]
     Refused {
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The connection broke at once.
+    /// The connection broke during the HTTP handshake.
     #[snafu(display("no connection: {source}"))]
     Protocol {
-        /// What the library said.
+        /// Error of the HTTP library.
         source: hyper::Error,
     },
 }
 
 impl Error {
-    /// The machine is there, and no process takes connections at that address.
+    /// Returns whether the instance is up but no process listens at that address.
     pub fn is_connection_refused(&self) -> bool {
         let refused = |e: &std::io::Error| e.kind() == std::io::ErrorKind::ConnectionRefused;
         matches!(self, Error::Refused { source } if refused(source))
@@ -66,16 +65,16 @@
 /// Result of opening a connection.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// One connection. Dropping it closes it at once, with whatever runs on it: that is how
-/// a backend server learns that its caller has left.
+/// A connection. Dropping it closes it immediately and aborts any request on it, which tells the
+/// backend server that the caller has disconnected.
 pub struct Connection {
-    /// Sends requests on it, one at a time.
+    /// Sends requests, one at a time.
     pub sender: SendRequest<Full<Bytes>>,
     address: SocketAddr,
     task: AbortHandle,
     idle_since: Duration,
     idle_timeout: Duration,
-    /// It has carried a request before.
+    /// Whether an earlier request used this connection.
     pub reused: bool,
 }
 
@@ -90,7 +89,7 @@
 pub struct Pool(Mutex<IndexMap<SocketAddr, Vec<Connection>>>);
 
 impl Pool {
-    /// A connection that was used before and seems alive.
+    /// Takes an idle connection that still appears to be open.
     pub fn take_idle(&self, now: Duration, address: SocketAddr) -> Option<Connection> {
         let mut pool = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let connections = pool.get_mut(&address)?;
@@ -105,7 +104,7 @@
         None
     }
 
-    /// Takes a connection back; `limit` is the idle time that the backend server told.
+    /// Returns a connection to the pool; `limit` is the idle timeout announced by the backend server.
     pub fn put_back(&self, now: Duration, mut connection: Connection, limit: Option<Duration>) {
         if !connection.sender.is_ready() {
             return;
@@ -122,13 +121,13 @@
         }
     }
 
-    /// Closes the idle connections to an address: another process is there now.
+    /// Closes the idle connections to an address where another process now listens.
     pub fn close_idle(&self, address: SocketAddr) {
         let mut pool = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         pool.swap_remove(&address);
     }
 
-    /// Closes what has been idle for too long.
+    /// Closes connections that have been idle for too long.
     pub fn evict_expired(&self, now: Duration) {
         let mut pool = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         for connections in pool.values_mut() {
@@ -162,12 +161,12 @@
     })
 }
 
-/// A machine without power, or behind a cut, answers nothing: without bounds of its own a
-/// connection to it hangs for minutes.
+/// Sets the socket options that limit how long a connection can hang: an instance that has lost power
+/// or network sends nothing, and without these limits a connection to it hangs for minutes.
 ///
-/// A connection that is closed is reset. After an ordinary close the system goes on sending what the
-/// other side has not acknowledged: a request that was given up arrives, and is begun, when a cut
-/// ends or a frozen machine wakes, seconds after its caller left. A reset drops it.
+/// Closing a connection resets it. After an ordinary close the kernel would continue to retransmit
+/// unacknowledged data: an abandoned request would arrive and start when the network recovers or a
+/// frozen instance resumes, seconds after its caller disconnected. A reset discards that data.
 fn configure_socket(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
@@ -181,6 +180,6 @@
         socket.set_tcp_keepalive(&keepalive),
     ];
     for error in results.into_iter().filter_map(std::result::Result::err) {
-        log::warn!("a connection goes unguarded: {error}");
+        log::warn!("failed to set a socket option: {error}");
     }
 }
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP under every role: connections to others ([`client`]), and the server: one thread with a current-thread runtime, bounds on
-//! what a slow or broken peer can hold, and a graceful end of its connections.
+//! HTTP for all roles: the client ([`client`]), and a server with one thread, a current-thread
+//! runtime, limits on the resources of a slow or broken peer, and graceful shutdown of connections.
 //!
-//! Library choice, measured: `tiny_http` cannot bound slow headers; `astra` 0.4 left
-//! 2 to 6 of 1,000 new connections unanswered for ever (docs/DESIGN.md).
+//! Choice of library, from measurements: `tiny_http` has no timeout for slow headers; `astra` 0.4
+//! never answered 2 to 6 of 1,000 new connections (docs/DESIGN.md).
 
 pub mod client;
 
@@ -24,18 +24,18 @@
 use tokio::sync::watch;
 use tokio_rustls::TlsAcceptor;
 
-/// Wait after a failed accept.
+/// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Body of an answer.
+/// Body of a response.
 pub type Body = BoxBody<Bytes, io::Error>;
 
-/// What a peer may hold of a server.
+/// Limits on the server resources that a peer may use.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionLimits {
-    /// A peer must have sent its whole header by then; so an idle connection ends too.
+    /// Time within which a peer must send its complete header; also closes idle connections.
     pub header_timeout: Duration,
-    /// A peer must have sent its whole body by then.
+    /// Time within which a peer must send its complete body.
     pub body_timeout: Duration,
     /// Largest header section, in bytes.
     pub max_header_bytes: usize,
@@ -51,18 +51,18 @@
     }
 }
 
-/// Why a request's body could not be had.
+/// Why a request's body could not be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyError {
-    /// It did not come in time.
+    /// The body did not arrive in time.
     TimedOut,
-    /// It is larger than the limit.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// The connection broke, or the framing is wrong.
+    /// The connection broke, or the framing is invalid.
     Broken,
 }
 
-/// Serves on its own thread, until the process ends.
+/// Serves on a new thread until the process exits.
 pub fn serve<F, Fut>(
     listener: TcpListener,
     name: &str,
@@ -79,19 +79,19 @@
     std::thread::Builder::new()
         .name(name.into())
         .spawn(move || {
-            // Nobody asks these connections to end before the process does.
+            // These connections are never shut down before the process exits.
             let (_open, closing) = watch::channel(false);
             let accepted = accept(listener, tls, ConnectionLimits::default(), closing, handle);
             if let Err(e) = runtime.block_on(accepted) {
-                log::error!("http: {e}");
+                log::error!("HTTP server failed: {e}");
             }
         })?;
     Ok(())
 }
 
-/// Accepts connections within the current runtime. Once `closing` turns true, idle
-/// connections end and the others end with their next answer, which says so; new ones
-/// are still served, one request each.
+/// Accepts connections on the current runtime. Once `closing` is true, idle connections are closed,
+/// and the others after their next response, which announces it; new connections are still
+/// accepted and serve one request each.
 pub async fn accept<F, Fut>(
     listener: TcpListener,
     tls: Option<TlsAcceptor>,
@@ -109,22 +109,23 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
-                // Out of file handles: waiting lets connections end; giving up
-                // would end the service for everybody.
+                // Out of file descriptors: after a delay other connections may have closed, whereas
+                // returning would stop the service for all callers.
                 metrics::counter!("http_accept_errors").increment(1);
-                log::warn!("accept: {e}");
+                log::warn!("failed to accept a connection: {e}");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         if let Err(e) = stream.set_nodelay(true) {
-            log::debug!("no delay: {e}");
+            log::debug!("failed to set TCP_NODELAY: {e}");
         }
         let (handle, tls, closing) = (handle.clone(), tls.clone(), closing.clone());
         tokio::spawn(async move {
             match tls {
                 None => serve_connection(stream, limits, closing, handle).await,
-                // A peer that never ends its handshake would hold the connection.
+                // Without a timeout, a peer that never completes its handshake would keep the
+                // connection open.
                 Some(tls) => {
                     match tokio::time::timeout(limits.header_timeout, tls.accept(stream)).await {
                         Ok(Ok(stream)) => serve_connection(stream, limits, closing, handle).await,
@@ -168,14 +169,14 @@
     }
 }
 
-/// Waits for ever where nobody is left to turn it.
+/// Waits until `closing` is true; waits forever if its sender was dropped.
 async fn wait_until_true(closing: &mut watch::Receiver<bool>) {
     if closing.wait_for(|c| *c).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
-/// The whole body, bounded in size and time.
+/// Reads the complete body, limited in size and time.
 pub async fn read_body(
     body: Incoming,
     max_bytes: usize,
@@ -191,14 +192,14 @@
     Ok(body.to_bytes())
 }
 
-/// A short answer.
-pub fn text(status: u16, kind: &'static str, text: impl Into<Bytes>) -> Response<Body> {
+/// Builds a short response.
+pub fn text(status: u16, content_type: &'static str, text: impl Into<Bytes>) -> Response<Body> {
     let body = Full::new(text.into()).map_err(|e: Infallible| match e {});
     let mut response = Response::new(BodyExt::boxed(body));
     *response.status_mut() =
         StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     response
         .headers_mut()
-        .insert(CONTENT_TYPE, HeaderValue::from_static(kind));
+        .insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     response
 }
--- a/crates/serve/tests/client.rs
+++ b/crates/serve/tests/client.rs
@@ -11,16 +11,16 @@
 use std::net::TcpListener;
 use std::time::Duration;
 
-/// More than the system takes for a peer that does not read.
-const BODY: usize = 64 << 20;
+/// Larger than the socket buffers for a peer that does not read.
+const BODY_BYTES: usize = 64 << 20;
 
-/// Symptom: a backend server begins requests whose callers left seconds ago. Sequence: it takes
-/// nothing for a while; the caller leaves, the gateway closes the connection; it goes on reading.
-/// Cause: what had not arrived yet when the connection was closed was delivered all the same.
+/// Guards against a backend server that starts requests whose callers left seconds ago: it reads
+/// nothing for a while, the caller leaves, the gateway closes the connection, and the backend server
+/// resumes reading; data that was still undelivered at the close was then delivered after all.
 #[googletest::test]
-fn what_was_not_delivered_of_a_request_that_was_given_up_never_is() {
-    let frozen = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = frozen.local_addr().unwrap();
+fn undelivered_data_of_an_abandoned_request_is_discarded() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -28,7 +28,7 @@
 
     runtime.block_on(async {
         let mut connection = client::open(address).await.unwrap();
-        let request = Request::new(Full::new(Bytes::from(vec![7; BODY])));
+        let request = Request::new(Full::new(Bytes::from(vec![7; BODY_BYTES])));
         let sent = connection.sender.send_request(request);
         let unanswered = tokio::time::timeout(Duration::from_millis(300), sent).await;
         assert!(unanswered.is_err());
@@ -36,15 +36,15 @@
         // The library's task closes the socket.
         tokio::time::sleep(Duration::from_millis(50)).await;
     });
-    let (mut woken, _) = frozen.accept().unwrap();
-    let mut taken = vec![0; BODY];
-    let read = loop {
-        match woken.read(&mut taken) {
-            Ok(0) => break "an ordinary end",
+    let (mut stream, _) = listener.accept().unwrap();
+    let mut buffer = vec![0; BODY_BYTES];
+    let end = loop {
+        match stream.read(&mut buffer) {
+            Ok(0) => break "end of stream",
             Ok(_) => {}
-            Err(_) => break "a reset",
+            Err(_) => break "reset",
         }
     };
 
-    expect_that!(read, eq("a reset"));
+    expect_that!(end, eq("reset"));
 }
