--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -37,7 +37,7 @@
         reason: String,
     },
     /// An earlier write or sync failed, after which this process makes no more of them.
-    #[snafu(display("an earlier write to the data directory failed; restart the process"))]
+    #[snafu(display("an earlier write or sync of the data directory failed; restart the process"))]
     Failed,
 }
 
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -92,7 +92,7 @@
         expect_that!(
             last_index(&again),
             eq(3),
-            "after a truncated at byte {length}"
+            "after truncation at byte {length}"
         );
     }
     Ok(())
