--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -4,7 +4,7 @@
 use crate::suspects::Report;
 use bn_directory::GatewaySelection;
 use bn_limit::Queue;
-use bn_quarantine::{Table, Watch};
+use bn_quarantine::{LossTracker, Table};
 use bn_route::{
     FillController, Fleet, PauseBounds, RetryAllowance, RetryBudget, RetryDetector, Server, Unit,
 };
@@ -68,7 +68,7 @@
     /// Requests under which backend servers ended, as coordinators tell them.
     pub(crate) cases: Table,
     /// Runs that were lost here.
-    pub(crate) watch: Watch,
+    pub(crate) watch: LossTracker,
 }
 
 impl State {
@@ -107,7 +107,7 @@
             gateways: 1,
             named: GatewaySelection::default(),
             cases: Table::default(),
-            watch: Watch::default(),
+            watch: LossTracker::default(),
         };
         Shared(Arc::new(Inner {
             start: Instant::now(),
--- a/crates/quorum/src/votes.rs
+++ b/crates/quorum/src/votes.rs
@@ -42,7 +42,7 @@
             };
             self.output.messages.push((id, message));
         }
-        self.count(now);
+        self.count_votes(now);
     }
 
     pub(crate) fn on_vote_request(
@@ -91,8 +91,7 @@
     /// Gives the replica that would get this one's vote the time to be elected. Otherwise replicas
     /// that start together all start a pre-vote before the first one's votes arrive, all become
     /// candidates, and each votes for itself. Of two replicas in a pre-vote the one with the lower
-    /// id continues. A replica yields only once, since the other may be unable to receive
-    /// responses.
+    /// id continues. A replica yields only once: the other may not receive any responses.
     fn yield_to(&mut self, now: Duration, to: &str) {
         match self.role {
             Role::Follower => self.reset_election_timer(now),
@@ -124,11 +123,11 @@
             && !self.votes.iter().any(|v| v == from);
         if counts {
             self.votes.push(from.into());
-            self.count(now);
+            self.count_votes(now);
         }
     }
 
-    fn count(&mut self, now: Duration) {
+    fn count_votes(&mut self, now: Duration) {
         let voter = |id: &&String| self.members.get(*id).is_some_and(|m| m.voter);
         if self.votes.iter().filter(voter).count() < quorum_size(&self.members) {
             return;
--- a/crates/quorum/tests/members.rs
+++ b/crates/quorum/tests/members.rs
@@ -12,7 +12,7 @@
 use simulation::{Action, ClusterConfig, Simulation};
 use std::time::Duration;
 
-/// Steps of 10 ms within which all running replicas must be voters again: 3 s, as on an idle core.
+/// Steps of 10 ms within which all running replicas vote again, 3 s, if no further fault occurs.
 const MAX_STEPS: usize = 300;
 /// Steps within which a log of nine replicas must have all of them as voters.
 const START_STEPS: usize = 1_500;
@@ -193,9 +193,9 @@
         },
         3,
     );
-    let current = |w: &mut Simulation, i: usize| {
-        let now = w.clock(i);
-        w.replica(i).is_current(now, within)
+    let current = |sim: &mut Simulation, i: usize| {
+        let now = sim.clock(i);
+        sim.replica(i).is_current(now, within)
     };
     expect_true!((0..6).all(|i| current(&mut sim, i)));
     for i in 0..6 {
--- a/crates/registry/src/table.rs
+++ b/crates/registry/src/table.rs
@@ -101,7 +101,7 @@
         let newer = supersedes(held, self);
         let same_start = self.start_time == held.start_time;
         let rank_updated = same_start && self.rank_version > held.rank_version;
-        let limit = held.limit.or(self.limit);
+        let limit = held.limit.merge(self.limit);
         let limit_changed = same_start && limit != held.limit;
         if !newer && !rank_updated && !limit_changed {
             return None;
--- a/crates/route/src/server.rs
+++ b/crates/route/src/server.rs
@@ -1,7 +1,7 @@
 //! A gateway's view of one backend server: its address, health and load.
 
 use crate::health_record::HealthRecord;
-use bn_backpressure::Terms;
+use bn_backpressure::Backpressure;
 use indexmap::IndexMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -58,7 +58,7 @@
     /// Time it takes for the same work, relative to a sound one.
     pub slowdown: f64,
     /// Directives it has sent to its senders.
-    pub terms: Terms,
+    pub terms: Backpressure,
     /// Health from the outcomes of requests.
     pub health: HealthRecord,
     /// This gateway's requests in flight there.
@@ -83,7 +83,7 @@
             slots,
             leaving: false,
             slowdown: 1.0,
-            terms: Terms::default(),
+            terms: Backpressure::default(),
             health: HealthRecord::default(),
             in_flight: 0,
             peer_requests: 0.0,
