--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,10 +1,10 @@
-//! Links between the system's own processes: one inbox a process and one bounded,
-//! non-blocking link a peer. Loss is normal; ids, epochs and deadlines in the
-//! messages make it harmless. Nothing here resends.
+//! Messaging between the system's own processes: one inbox per process and one bounded,
+//! non-blocking link per peer. Messages may be lost; ids, epochs and deadlines in the messages
+//! make that harmless. This crate never retransmits.
 
 mod link;
 mod traffic;
-mod usage;
+mod usage_reporter;
 
 use bn_wire::messages::{Envelope, Role, envelope::Body};
 use link::Link;
@@ -19,31 +19,31 @@
 use std::thread;
 use traffic::Traffic;
 
-pub use traffic::{Flow, Tally, Way};
-pub use usage::Usage;
+pub use traffic::{Disposition, Flow, Tally};
+pub use usage_reporter::UsageReporter;
 
-/// Messages that wait for the inbox's thread; beyond them the oldest are lost.
-const INBOX_MESSAGES: i32 = 1024;
-/// Largest message taken, in bytes.
-const LARGEST_MESSAGE: usize = 64 << 20;
+/// Received messages queued for the inbox thread; on overflow the oldest are dropped.
+const INBOX_CAPACITY: i32 = 1024;
+/// Largest message accepted, in bytes.
+const MAX_MESSAGE_BYTES: usize = 64 << 20;
 
 /// Why the inbox could not be opened.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The library refused.
-    #[snafu(display("inbox {address}: {source}"))]
+    /// The messaging library returned an error.
+    #[snafu(display("failed to open inbox {address}: {source}"))]
     Open {
-        /// Where it was to listen.
+        /// Listen address.
         address: SocketAddr,
-        /// What the library said.
+        /// Error of the messaging library.
         source: nng::Error,
     },
 }
 
-/// Result of opening.
+/// Result of opening an inbox.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// A process's end of all its links. Cheap to clone.
+/// A process's inbox and its links to all peers. Cheap to clone.
 #[derive(Clone)]
 pub struct Net(Arc<Inner>);
 
@@ -57,8 +57,8 @@
 }
 
 impl Net {
-    /// Opens the inbox at `listen`, which others reach at `inbox`; `sink` gets each
-    /// message on the inbox's own thread and must not block for long.
+    /// Opens the inbox at `listen`, which peers reach at `inbox`. `sink` is called with each
+    /// message on the inbox thread and must not block for long.
     pub fn open(
         id: &str,
         incarnation: u64,
@@ -66,34 +66,35 @@
         listen: SocketAddr,
         sink: impl Fn(Envelope) + Send + 'static,
     ) -> Result<Net> {
-        let put = move |envelope| {
+        let deliver = move |envelope| {
             sink(envelope);
             true
         };
-        Net::start(Role::Node, (id, incarnation), inbox, listen, put)
+        Net::open_with_role(Role::Node, (id, incarnation), inbox, listen, deliver)
     }
 
-    /// Opens the inbox of a process that begins now: `put` takes each message into a bounded
-    /// ring, or says that it is full. What is lost there is counted, as loss on a link is.
-    pub fn begin(
+    /// Opens the inbox of a process that is starting, under a new random incarnation. `deliver`
+    /// puts each message into a bounded ring and returns `false` if that is full; messages
+    /// dropped there are counted, as those dropped on a link are.
+    pub fn start(
         role: Role,
         id: &str,
         inbox: SocketAddr,
         listen: SocketAddr,
-        put: impl Fn(Envelope) -> bool + Send + 'static,
+        deliver: impl Fn(Envelope) -> bool + Send + 'static,
     ) -> Result<Net> {
         let incarnation = rand::random::<u64>() | 1;
-        Net::start(role, (id, incarnation), inbox, listen, put)
+        Net::open_with_role(role, (id, incarnation), inbox, listen, deliver)
     }
 
-    fn start(
+    fn open_with_role(
         role: Role,
         (id, incarnation): (&str, u64),
         inbox: SocketAddr,
         listen: SocketAddr,
-        put: impl Fn(Envelope) -> bool + Send + 'static,
+        deliver: impl Fn(Envelope) -> bool + Send + 'static,
     ) -> Result<Net> {
-        let socket = open(listen).context(OpenSnafu { address: listen })?;
+        let socket = open_socket(listen).context(OpenSnafu { address: listen })?;
         let inner = Arc::new(Inner {
             id: id.into(),
             incarnation,
@@ -102,24 +103,24 @@
             links: Mutex::default(),
             traffic: Mutex::default(),
         });
-        // Weak: the inbox's thread must not keep links open that nobody uses any more.
-        let starts = Starts {
+        // A weak reference, so that the inbox thread does not keep unused links open.
+        let incarnations = PeerIncarnations {
             known: HashMap::new(),
             inner: Arc::downgrade(&inner),
         };
-        thread::spawn(move || receive(&socket, starts, put));
+        thread::spawn(move || receive(&socket, incarnations, deliver));
         Ok(Net(inner))
     }
 
-    /// Random number of this start of the process.
+    /// Random number that identifies this run of the process.
     pub fn incarnation(&self) -> u64 {
         self.0.incarnation
     }
 
-    /// Queues a message. `false` says that it was not queued, so no byte of it was
-    /// or will be sent; `true` says nothing about arrival.
+    /// Queues a message. `false` means that it was not queued, so no byte of it was or will be
+    /// sent; `true` does not imply delivery.
     pub fn send(&self, to: SocketAddr, body: Body) -> bool {
-        let kind = kind(&body);
+        let kind = kind_name(&body);
         let envelope = Envelope {
             from: self.0.id.clone(),
             incarnation: self.0.incarnation,
@@ -135,24 +136,28 @@
         if !sent {
             metrics::counter!("link_refused").increment(1);
         }
-        let way = if sent { Way::Sent } else { Way::Refused };
-        self.0.counts().sent(way, kind, to, length);
+        let disposition = if sent {
+            Disposition::Sent
+        } else {
+            Disposition::Refused
+        };
+        self.0.traffic().count_sent(disposition, kind, to, length);
         sent
     }
 
-    /// Messages and bytes exchanged since the start of the process.
+    /// Messages and bytes sent and received since the process started.
     pub fn traffic(&self) -> Vec<(Flow, Tally)> {
-        self.0.counts().tallies()
+        self.0.traffic().tallies()
     }
 
-    /// Peers that there is a link to.
-    pub fn links(&self) -> usize {
+    /// Number of peers with an open link.
+    pub fn link_count(&self) -> usize {
         self.0.links().len()
     }
 
-    /// Closes the link to a peer that is gone. What waited on it is dropped, so
-    /// that a peer that comes back is not handed minutes-old messages.
-    pub fn forget(&self, peer: SocketAddr) {
+    /// Closes the link to a peer that is gone. Queued messages are dropped, so that a peer that
+    /// returns does not receive messages that are minutes old.
+    pub fn disconnect(&self, peer: SocketAddr) {
         if let Some(link) = self.0.links().remove(&peer) {
             link.close();
         }
@@ -175,13 +180,13 @@
         self.links.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn counts(&self) -> MutexGuard<'_, Traffic> {
+    fn traffic(&self) -> MutexGuard<'_, Traffic> {
         self.traffic.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Name of a message's kind, for counters.
-fn kind(body: &Body) -> &'static str {
+/// Label of a message's kind, for counters.
+fn kind_name(body: &Body) -> &'static str {
     match body {
         Body::Attach(_) => "attach",
         Body::AgentLease(_) => "agent_lease",
@@ -216,28 +221,29 @@
     }
 }
 
-fn open(address: SocketAddr) -> nng::Result<Socket> {
+fn open_socket(address: SocketAddr) -> nng::Result<Socket> {
     let socket = Socket::new(Protocol::Sub0)?;
     socket.set_opt::<Subscribe>(Vec::new())?;
-    socket.set_opt::<RecvBufferSize>(INBOX_MESSAGES)?;
-    socket.set_opt::<RecvMaxSize>(LARGEST_MESSAGE)?;
+    socket.set_opt::<RecvBufferSize>(INBOX_CAPACITY)?;
+    socket.set_opt::<RecvMaxSize>(MAX_MESSAGE_BYTES)?;
     socket.listen(&format!("tcp://{address}"))?;
     Ok(socket)
 }
 
-/// Which start of each peer was heard last.
+/// The last received incarnation of each peer, by inbox.
 ///
-/// A peer that lost power and is back says nothing of the connections it had, and the link to it
-/// goes on as if it stood until the next message on it is answered with a reset: that message is
-/// lost. Each relay of a group would lose its answer to a new leader in turn, which would not see its
-/// group for seconds. So a link ends as soon as its peer shows a new start.
-struct Starts {
+/// A peer that restarts after a power loss does not close its earlier connections. The link to it
+/// seems to be connected until the next message on it is answered with a reset, and that message is
+/// lost. Each relay of a group would lose its answer to a new leader in this way, one after the
+/// other, and the leader would not see its group for seconds. So a link is closed as soon as its
+/// peer sends a message with a new incarnation.
+struct PeerIncarnations {
     known: HashMap<String, u64>,
     inner: Weak<Inner>,
 }
 
-impl Starts {
-    fn note(&mut self, envelope: &Envelope) {
+impl PeerIncarnations {
+    fn observe(&mut self, envelope: &Envelope) {
         let known = self.known.get_mut(&envelope.inbox);
         let earlier = known.as_ref().map(|k| **k);
         if earlier == Some(envelope.incarnation) {
@@ -253,21 +259,33 @@
         let (Some(inner), Ok(peer)) = (self.inner.upgrade(), envelope.inbox.parse()) else {
             return;
         };
-        inner.counts().know(peer, envelope.role());
+        inner.traffic().set_role(peer, envelope.role());
         if earlier.is_some() {
             metrics::counter!("links_of_earlier_starts").increment(1);
-            Net(inner).forget(peer);
+            Net(inner).disconnect(peer);
         }
     }
 
-    fn count(&self, way: Way, kind: &'static str, from: Role, bytes: usize) {
+    fn count_received(
+        &self,
+        disposition: Disposition,
+        kind: &'static str,
+        from: Role,
+        bytes: usize,
+    ) {
         if let Some(inner) = self.inner.upgrade() {
-            inner.counts().received(way, kind, from, bytes);
+            inner
+                .traffic()
+                .count_received(disposition, kind, from, bytes);
         }
     }
 }
 
-fn receive(socket: &Socket, mut starts: Starts, put: impl Fn(Envelope) -> bool) {
+fn receive(
+    socket: &Socket,
+    mut incarnations: PeerIncarnations,
+    deliver: impl Fn(Envelope) -> bool,
+) {
     loop {
         let bytes = match socket.recv() {
             Ok(bytes) => bytes,
@@ -277,14 +295,21 @@
         match Envelope::decode(&bytes[..]) {
             Ok(envelope) => {
                 metrics::counter!("link_received_bytes").increment(bytes.len() as u64);
-                starts.note(&envelope);
-                let (kind, from) = (envelope.body.as_ref().map_or("none", kind), envelope.role());
-                let taken = put(envelope);
+                incarnations.observe(&envelope);
+                let (kind, from) = (
+                    envelope.body.as_ref().map_or("none", kind_name),
+                    envelope.role(),
+                );
+                let taken = deliver(envelope);
                 if !taken {
                     metrics::counter!("ring_lost_total").increment(1);
                 }
-                let way = if taken { Way::Received } else { Way::Lost };
-                starts.count(way, kind, from, bytes.len());
+                let disposition = if taken {
+                    Disposition::Received
+                } else {
+                    Disposition::Dropped
+                };
+                incarnations.count_received(disposition, kind, from, bytes.len());
             }
             Err(_) => metrics::counter!("link_undecodable").increment(1),
         }
