--- a/crates/coordinator/src/cases.rs
+++ b/crates/coordinator/src/cases.rs
@@ -11,7 +11,7 @@
     Case, CaseStatus, CaseUpdate, Digest, Start, Table, Termination, Trials, read_digest, to_text,
 };
 use bn_quorum::Role;
-use bn_store::{Disk, Side};
+use bn_store::{AtomicFile, Disk};
 use bn_wire::messages::envelope::Body;
 use bn_wire::messages::{self as wire};
 use indexmap::IndexMap;
@@ -34,7 +34,7 @@
 pub(crate) struct Cases {
     pub(crate) table: Table,
     trials: Trials,
-    file: Side,
+    file: AtomicFile,
     /// Terminations that have been pushed to gateways.
     pushed: IndexMap<Start, Duration>,
     /// Content of the file.
@@ -48,7 +48,7 @@
     /// Loads the refused requests from disk. Unreadable ones are lost and cost backend servers
     /// until they are detected again; the coordinator starts all the same.
     pub(crate) fn open(data: &Path) -> Cases {
-        let file = Side::new(data, FILE, Disk::default());
+        let file = AtomicFile::new(data, FILE, Disk::default());
         let mut table = Table::default();
         let stored = file.read().map_err(|e| e.to_string()).and_then(decode);
         match stored {
--- a/crates/coordinator/src/core.rs
+++ b/crates/coordinator/src/core.rs
@@ -11,7 +11,7 @@
 use bn_conf::{Coordinator as Conf, Settings};
 use bn_directory::Directory;
 use bn_engine::Calls;
-use bn_net::{Net, Usage};
+use bn_net::{Net, UsageReporter};
 use bn_quorum::{
     Entry, Membership, Message, Output, Payload, Replica, ReplicaConfig, Role, Timing,
 };
@@ -69,7 +69,7 @@
     pub(crate) calls: Calls,
     pub(crate) relays: relays::Relays,
     pub(crate) events: EventSender,
-    usage: Usage,
+    usage: UsageReporter,
     role: Role,
     /// Whether all committed entries were known at the last check.
     pub(crate) current: bool,
@@ -88,7 +88,7 @@
     let sender = events.clone();
     let id = settings.inbox.ip().to_string();
     let deliver = move |e| sender.send(Event::Message(Box::new(e)));
-    let net = Net::begin(
+    let net = Net::start(
         ProcessRole::Coordinator,
         &id,
         settings.inbox,
@@ -127,14 +127,14 @@
             // The initial voters must be on disk: after a restart the settings no longer say that
             // the system is new, and a restarted voter would know no other one.
             let initial = initial_members(&seeds);
-            store.snapshot(&(&initial).into(), Vec::new())?;
+            store.replace_snapshot(&(&initial).into(), Vec::new())?;
             loaded.snapshot = Some((&initial).into());
         }
         lines.put(
             "data_opened",
             json!({
                 "identity": format!("{identity:016x}"), "empty": empty, "first": conf.first,
-                "entries": loaded.entries.len(), "torn_bytes": loaded.cut_bytes,
+                "entries": loaded.entries.len(), "torn_bytes": loaded.truncated_bytes,
             }),
         );
         let restored = restored(loaded)?;
@@ -181,7 +181,7 @@
             calls: args.calls.clone(),
             relays: Default::default(),
             events: args.events.clone(),
-            usage: Usage::default(),
+            usage: UsageReporter::default(),
         })
     }
 
@@ -223,7 +223,7 @@
             self.update_groups(now);
             self.flush()?;
             self.usage
-                .note(now, &self.net, &self.lines, || receiver.queue_lengths());
+                .report_if_due(now, &self.net, &self.lines, || receiver.queue_lengths());
         }
     }
 
--- a/crates/coordinator/src/durable.rs
+++ b/crates/coordinator/src/durable.rs
@@ -5,7 +5,7 @@
 use crate::document::{VersionedDocument, decode, encode};
 use crate::{DecodeSnafu, Result};
 use bn_quorum::{Entry, Member, Output, Restored};
-use bn_store::Loaded;
+use bn_store::LoadedState;
 use bn_wire::messages as wire;
 use serde_json::json;
 use snafu::OptionExt;
@@ -24,7 +24,7 @@
     /// Writes and syncs the output of the log; nothing that depends on it may be answered before.
     pub(super) fn persist(&mut self, out: &Output) -> Result<()> {
         if let Some(snapshot) = &out.snapshot {
-            self.store.snapshot(&snapshot.into(), Vec::new())?;
+            self.store.replace_snapshot(&snapshot.into(), Vec::new())?;
             self.applied = snapshot.index;
             self.adopt(decode(&snapshot.state)?);
         }
@@ -55,7 +55,8 @@
         {
             let remaining = self.quorum.entries_after(snapshot.index);
             let remaining = remaining.iter().map(Into::into).collect();
-            self.store.snapshot(&(&snapshot).into(), remaining)?;
+            self.store
+                .replace_snapshot(&(&snapshot).into(), remaining)?;
             self.logged_bytes = 0;
             self.lines
                 .put("snapshot_taken", json!({ "index": snapshot.index }));
@@ -80,7 +81,7 @@
     }
 }
 
-pub(super) fn restored(loaded: Loaded) -> Result<Restored> {
+pub(super) fn restored(loaded: LoadedState) -> Result<Restored> {
     let entries = loaded.entries.into_iter().map(Entry::try_from);
     let entries = entries.collect::<std::result::Result<_, _>>();
     Ok(Restored {
--- a/crates/coordinator/src/engine_calls.rs
+++ b/crates/coordinator/src/engine_calls.rs
@@ -169,7 +169,7 @@
     /// directly.
     pub(super) fn fail_overdue(&mut self, now: Duration) {
         for pending in self.relays.take_overdue(now) {
-            self.net.forget(pending.forwarder);
+            self.net.disconnect(pending.forwarder);
             self.log_silent_relay(pending.forwarder, pending.kind);
             self.on_reply(now, &pending.group, pending.call, Reply::Silent);
         }
--- a/crates/coordinator/src/groups.rs
+++ b/crates/coordinator/src/groups.rs
@@ -197,7 +197,7 @@
             return;
         }
         self.groups.version = self.committed.version;
-        let bytes = match bn_wire::unpack(&self.committed.document) {
+        let bytes = match bn_wire::decompress(&self.committed.document) {
             Ok(bytes) => bytes,
             Err(e) => return log::error!("cannot read document {}: {e}", self.committed.version),
         };
--- a/crates/coordinator/src/http.rs
+++ b/crates/coordinator/src/http.rs
@@ -3,7 +3,7 @@
 use crate::events::{Event, EventSender};
 use bn_directory::ANSWER_TTL;
 use bn_platform::call::{self, Call};
-use bn_serve::{Body, BodyFault, Bounds, text, whole_body};
+use bn_serve::{Body, BodyError, ConnectionLimits, read_body, text};
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 use serde_json::json;
@@ -33,12 +33,12 @@
     let Some(parsed) = parsed else {
         return error_response(404, "there is no such call");
     };
-    let timeout = Bounds::default().body_time;
-    let body = match whole_body(request.into_body(), MAX_BODY_BYTES, timeout).await {
+    let timeout = ConnectionLimits::default().body_timeout;
+    let body = match read_body(request.into_body(), MAX_BODY_BYTES, timeout).await {
         Ok(body) => body,
-        Err(BodyFault::TooLarge) => return error_response(413, "the body is too large"),
-        Err(BodyFault::Slow) => return error_response(408, "the body came too slowly"),
-        Err(BodyFault::Broken) => return error_response(400, "the body broke off"),
+        Err(BodyError::TooLarge) => return error_response(413, "the body is too large"),
+        Err(BodyError::TimedOut) => return error_response(408, "the body came too slowly"),
+        Err(BodyError::Broken) => return error_response(400, "the body broke off"),
     };
     match parsed {
         Call::Ready => text(200, JSON, "{}"),
@@ -50,7 +50,7 @@
         }
         Call::Settle => propose(events, body.to_vec()).await,
         Call::Read => match query(events, Event::ReadDocument).await.flatten() {
-            Some(compressed) => match bn_wire::unpack(&compressed) {
+            Some(compressed) => match bn_wire::decompress(&compressed) {
                 Ok(document) => text(200, JSON, document),
                 Err(e) => error_response(500, &format!("the document cannot be unpacked: {e}")),
             },
@@ -93,7 +93,7 @@
             return error_response(400, &e.to_string());
         }
     };
-    let compressed = match bn_wire::pack(&document) {
+    let compressed = match bn_wire::compress(&document) {
         Ok(compressed) => compressed,
         Err(e) => return error_response(500, &format!("the document cannot be packed: {e}")),
     };
--- a/crates/coordinator/src/updates.rs
+++ b/crates/coordinator/src/updates.rs
@@ -138,7 +138,7 @@
 
     pub(crate) fn on_poll(&mut self, now: Duration, inbox: SocketAddr, poll: &wire::NewsAsk) {
         if poll.unheard {
-            self.net.forget(inbox);
+            self.net.disconnect(inbox);
         }
         if let Ok(callers) = poll.callers.parse() {
             let gateway = Gateway {
@@ -251,7 +251,7 @@
             let peer = self.peers.by_inbox.entry(inbox).or_default();
             let lost = peer.unanswered >= MAX_UNANSWERED;
             if lost && peer.unanswered.is_multiple_of(MAX_UNANSWERED) {
-                self.net.forget(inbox);
+                self.net.disconnect(inbox);
             }
             if peer.unanswered == MAX_UNANSWERED {
                 let fields = json!({ "peer": inbox, "unanswered": peer.unanswered });
@@ -268,7 +268,7 @@
             self.net.send(inbox, Body::NewsAsk(poll));
         }
         for gone in self.directory.evict_expired(now) {
-            self.net.forget(gone);
+            self.net.disconnect(gone);
             self.peers.lag.clear(gone);
             self.subscribers.remove(gone);
             self.lines.put("gateway_lost", json!({ "inbox": gone }));
