--- a/crates/coordinator/src/members.rs
+++ b/crates/coordinator/src/members.rs
@@ -9,7 +9,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Number of reported coordinators that are kept, the latest ones: at most 15 are set aside.
+/// Number of reported coordinators that are kept, the latest ones: at most 15 instances may be set
+/// aside for the control of a deployment.
 const MAX_COORDINATORS: usize = 32;
 
 impl Core {
