--- a/crates/coordinator/src/durable.rs
+++ b/crates/coordinator/src/durable.rs
@@ -1,8 +1,8 @@
-//! What the log keeps on disk: entries and votes before they are answered, a snapshot in place of
-//! many documents.
+//! Persistence of the log: entries and votes are synced before they are answered; a snapshot
+//! replaces many documents.
 
 use crate::core::Core;
-use crate::settled::{Settled, decode, encode};
+use crate::document::{VersionedDocument, decode, encode};
 use crate::{DecodeSnafu, Result};
 use bn_quorum::{Entry, Member, Output, Restored};
 use bn_store::LoadedState;
@@ -11,17 +11,17 @@
 use snafu::OptionExt;
 use std::net::SocketAddr;
 
-/// Bytes of documents in the log after which a snapshot replaces it: some times the newest
-/// document, which is all that matters. A follower that lags gets that one in place of
-/// dozens: documents with hundreds of routes have some 30 KB packed, and sending all of them
-/// again and again takes the link and the processor from everything else.
-const SNAPSHOT_TIMES: usize = 4;
+/// Bytes of documents in the log after which a snapshot replaces it: a multiple of the newest
+/// document, the only one that matters. A follower that lags gets that one instead of dozens:
+/// documents with hundreds of routes have about 30 KB compressed, and sending all of them repeatedly
+/// takes the link and the CPU away from everything else.
+const SNAPSHOT_FACTOR: usize = 4;
 const SNAPSHOT_BYTES: usize = 128 << 10;
 /// Entries kept in memory behind a snapshot, for followers that lag a little.
-const KEPT: u64 = 3;
+const KEPT_ENTRIES: u64 = 3;
 
 impl Core {
-    /// Writes and syncs what the log gave out: only then may anything be answered that rests on it.
+    /// Writes and syncs the output of the log; nothing that depends on it may be answered before.
     pub(super) fn persist(&mut self, out: &Output) -> Result<()> {
         if let Some(snapshot) = &out.snapshot {
             self.store.replace_snapshot(&snapshot.into(), Vec::new())?;
@@ -36,23 +36,27 @@
             cut_from: out.truncate_from.unwrap_or(0),
             entries: out.append.iter().map(Into::into).collect(),
         };
-        let began = self.now();
+        let start = self.now();
         self.store.append(&batch)?;
-        metrics::histogram!("log_commit_seconds").record(self.now() - began);
+        metrics::histogram!("log_commit_seconds").record(self.now() - start);
         Ok(())
     }
 
-    /// Puts a snapshot in place of the entries once they are large against the newest document.
+    /// Replaces the entries by a snapshot once they are large compared with the newest document.
     pub(super) fn compact(&mut self) -> Result<()> {
-        let most = SNAPSHOT_BYTES + SNAPSHOT_TIMES * self.settled.document.len();
-        if self.logged_bytes < most {
+        let limit = SNAPSHOT_BYTES + SNAPSHOT_FACTOR * self.committed.document.len();
+        if self.logged_bytes < limit {
             return Ok(());
         }
-        let state = encode(&self.settled);
-        if let Some(snapshot) = self.quorum.compact_keeping(self.applied, state, KEPT) {
-            let rest = self.quorum.entries_after(snapshot.index);
-            let rest = rest.iter().map(Into::into).collect();
-            self.store.replace_snapshot(&(&snapshot).into(), rest)?;
+        let state = encode(&self.committed);
+        if let Some(snapshot) = self
+            .quorum
+            .compact_keeping(self.applied, state, KEPT_ENTRIES)
+        {
+            let remaining = self.quorum.entries_after(snapshot.index);
+            let remaining = remaining.iter().map(Into::into).collect();
+            self.store
+                .replace_snapshot(&(&snapshot).into(), remaining)?;
             self.logged_bytes = 0;
             self.lines
                 .put("snapshot_taken", json!({ "index": snapshot.index }));
@@ -61,7 +65,7 @@
     }
 }
 
-pub(super) fn first_members(seeds: &[SocketAddr]) -> bn_quorum::Snapshot {
+pub(super) fn initial_members(seeds: &[SocketAddr]) -> bn_quorum::Snapshot {
     let member = |inbox: &SocketAddr| {
         let member = Member {
             identity: 0,
@@ -72,7 +76,7 @@
     };
     bn_quorum::Snapshot {
         members: seeds.iter().map(member).collect(),
-        state: encode(&Settled::default()),
+        state: encode(&VersionedDocument::default()),
         ..bn_quorum::Snapshot::default()
     }
 }
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,72 +1,75 @@
-//! The coordinator process: settles documents in a replicated log, keeps registrations of
-//! backend servers, and tells callers which gateways there are.
+//! The coordinator process: commits documents in a replicated log, keeps registrations of backend
+//! servers, and resolves the addresses of gateways for callers.
 //!
-//! One thread owns all state (`core`); HTTP and the inbox reach it over two bounded rings.
+//! One thread owns all state (`core`); HTTP and the inbox send events to it over two bounded
+//! queues.
 
 mod announcements;
-mod asks;
-mod carry;
 mod cases;
 mod core;
+mod document;
 mod durable;
+mod engine_calls;
+mod engine_requests;
+mod events;
 mod groups;
 mod http;
 mod members;
-mod news;
 mod pages;
+mod proposals;
+mod pushes;
 mod reads;
 mod relays;
-mod ring;
-mod settled;
-mod settling;
 mod subscribers;
 mod supervise;
-mod tell;
+mod updates;
 
-pub use self::carry::{Way, way};
 pub use self::core::start;
-pub use self::news::Lag;
+pub use self::engine_calls::{CallPath, call_path};
+pub use self::events::{Event, EventReceiver, EventSender, event_queue};
 pub use self::pages::{LIMITS, MEMBERS, QUARANTINE, pages};
-pub use self::relays::{About, Ask as RelayAsk, GroupId, Relays, is_counted, part, parts};
-pub use self::ring::{Event, Inlet, Ring, ring};
+pub use self::relays::{
+    GroupId, PendingRequest, Relays, RequestKind, batch_size, batches, reports_counts,
+};
 pub use self::subscribers::Subscribers;
+pub use self::updates::GatewayLag;
 
 use snafu::Snafu;
 
-/// Why a coordinator could not start, or had to end.
+/// Why a coordinator could not start, or stopped.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
     /// The inbox could not be opened.
     #[snafu(display("{source}"), context(false))]
     Net {
-        /// What the links said.
+        /// Error of the links.
         source: bn_net::Error,
     },
     /// A socket could not be opened.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// Where.
+        /// Address of the socket.
         address: std::net::SocketAddr,
-        /// What the system said.
+        /// Error of the system.
         source: std::io::Error,
     },
-    /// The thread for calls could not be made.
-    #[snafu(display("thread for calls: {source}"))]
+    /// The thread for outgoing calls could not be started.
+    #[snafu(display("cannot start the thread for outgoing calls: {source}"))]
     Calls {
-        /// What the system said.
+        /// Error of the system.
         source: std::io::Error,
     },
-    /// The data folder cannot be used, or a write failed.
+    /// The data directory cannot be used, or a write failed.
     #[snafu(display("{source}"), context(false))]
     Store {
-        /// What it said.
+        /// Error of the store.
         source: bn_store::Error,
     },
-    /// What the data folder holds does not decode.
-    #[snafu(display("undecodable {what}"))]
+    /// Content of the data directory cannot be decoded.
+    #[snafu(display("cannot decode {what}"))]
     Decode {
-        /// What it was.
+        /// What could not be decoded.
         what: &'static str,
     },
 }
--- a/crates/coordinator/src/members.rs
+++ b/crates/coordinator/src/members.rs
@@ -1,4 +1,4 @@
-//! Members of the log, as far as coordinators do something about them.
+//! Members of the log: join requests, changes of voters, and the list of known coordinators.
 
 use crate::core::Core;
 use bn_quorum::{Change, ChangeReason, JoinRequest};
@@ -9,68 +9,73 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Coordinators that others named are remembered, the latest so many: at most 15 are set aside.
-const MOST_HEARD_OF: usize = 32;
+/// Number of reported coordinators that are kept, the latest ones: at most 15 instances may be set
+/// aside for the control of a deployment.
+const MAX_COORDINATORS: usize = 32;
 
 impl Core {
-    pub(crate) fn on_join_ask(&mut self, from: SocketAddr, ask: &wire::JoinAsk) {
-        let handed = !ask.inbox.is_empty();
-        let inbox = if handed { ask.inbox.parse() } else { Ok(from) };
+    pub(crate) fn on_join_request(&mut self, from: SocketAddr, request: &wire::JoinAsk) {
+        let forwarded = !request.inbox.is_empty();
+        let inbox = if forwarded {
+            request.inbox.parse()
+        } else {
+            Ok(from)
+        };
         let Ok(inbox) = inbox else {
-            return log::warn!("an ask to be a member names no address: {}", ask.inbox);
+            return log::warn!("join request without a valid address: {}", request.inbox);
         };
-        let ask = JoinRequest {
+        let request = JoinRequest {
             id: inbox.ip().to_string(),
             address: inbox.to_string(),
-            identity: ask.identity,
-            forwarded: handed,
+            identity: request.identity,
+            forwarded,
         };
-        if let Some((leader, ask)) = self.members.on_join_request(&self.quorum, ask)
+        if let Some((leader, request)) = self.members.on_join_request(&self.quorum, request)
             && let Ok(ip) = leader.parse()
         {
-            let ask = wire::JoinAsk {
-                identity: ask.identity,
-                inbox: ask.address,
+            let request = wire::JoinAsk {
+                identity: request.identity,
+                inbox: request.address,
             };
             let to = SocketAddr::new(ip, self.inbox.port());
-            self.net.send(to, Body::JoinAsk(ask));
+            self.net.send(to, Body::JoinAsk(request));
         }
     }
 
-    /// Another coordinator says which ones there are. One with an empty disk knows only three from its
-    /// settings, and these may all be away.
-    pub(crate) fn note_coordinators(&mut self, named: &[String]) {
-        for inbox in named.iter().filter_map(|a| a.parse().ok()) {
-            if self.heard_of.insert(inbox) && self.heard_of.len() > MOST_HEARD_OF {
-                self.heard_of.shift_remove_index(0);
+    /// Records the coordinators that another one reports. A coordinator with an empty disk knows
+    /// only three from its settings, and all of these may be absent.
+    pub(crate) fn record_coordinators(&mut self, reported: &[String]) {
+        for inbox in reported.iter().filter_map(|a| a.parse().ok()) {
+            if self.coordinators.insert(inbox) && self.coordinators.len() > MAX_COORDINATORS {
+                self.coordinators.shift_remove_index(0);
             }
         }
     }
 
-    /// Asks to be a member where it hears no leader; as the leader, changes who votes.
-    pub(crate) fn keep_members(&mut self, now: Duration) {
-        let turn = self.members.tick(now, &mut self.quorum);
-        if let Some(change) = turn.change {
-            self.note_change(&change);
+    /// Sends join requests if no leader is known; as the leader, changes the voters.
+    pub(crate) fn update_membership(&mut self, now: Duration) {
+        let output = self.members.tick(now, &mut self.quorum);
+        if let Some(change) = output.change {
+            self.log_change(&change);
         }
-        self.note_voting();
-        let Some(ask) = turn.join_request else {
+        self.log_voting();
+        let Some(request) = output.join_request else {
             return;
         };
-        let ask = wire::JoinAsk {
-            identity: ask.identity,
+        let request = wire::JoinAsk {
+            identity: request.identity,
             ..wire::JoinAsk::default()
         };
         let mut known: IndexSet<SocketAddr> = self.others().into_iter().collect();
-        known.extend(self.heard_of.iter().filter(|a| **a != self.inbox));
+        known.extend(self.coordinators.iter().filter(|a| **a != self.inbox));
         for inbox in known {
-            self.net.send(inbox, Body::JoinAsk(ask.clone()));
+            self.net.send(inbox, Body::JoinAsk(request.clone()));
         }
     }
 
-    /// A log that fewer keep than there are coordinators bears fewer losses: operators see who does
-    /// not vote.
-    fn note_voting(&mut self) {
+    /// A log with fewer voters than coordinators tolerates fewer losses: operators are shown which
+    /// ones do not vote.
+    fn log_voting(&mut self) {
         let members = self.quorum.members();
         let me = members.get(self.quorum.id());
         let votes = self.quorum.is_member() && me.is_some_and(|m| m.voter);
@@ -84,30 +89,30 @@
             .put("voting", json!({ "votes": votes, "voters": voters }));
     }
 
-    /// Who keeps the log, as this coordinator knows it, and whether that is what was settled.
+    /// The members of the log as this coordinator knows them, and whether that is current.
     pub(crate) fn show_members(&self) -> String {
         let members = self.quorum.members().iter();
-        let named = members.map(|(id, m)| json!({ "id": id, "votes": m.voter }));
+        let rows = members.map(|(id, m)| json!({ "id": id, "votes": m.voter }));
         json!({
-            "members": named.collect::<Vec<_>>(), "leader": self.quorum.leader(),
-            "term": self.quorum.term(), "current": self.current, "version": self.settled.version,
+            "members": rows.collect::<Vec<_>>(), "leader": self.quorum.leader(),
+            "term": self.quorum.term(), "current": self.current, "version": self.committed.version,
         })
         .to_string()
     }
 
-    fn note_change(&self, change: &Change) {
-        let why = |reason: &ChangeReason| match reason {
+    fn log_change(&self, change: &Change) {
+        let reason_name = |reason: &ChangeReason| match reason {
             ChangeReason::IdentityChanged => "emptied",
             ChangeReason::Absent => "away",
         };
         match change {
             Change::Added(id) => self.lines.put("member_added", json!({ "id": id })),
             Change::Demoted(id, reason) => {
-                let fields = json!({ "id": id, "why": why(reason) });
+                let fields = json!({ "id": id, "why": reason_name(reason) });
                 self.lines.put("member_demoted", fields);
             }
             Change::Removed(id, reason) => {
-                let fields = json!({ "id": id, "why": why(reason) });
+                let fields = json!({ "id": id, "why": reason_name(reason) });
                 self.lines.put("member_removed", fields);
             }
         }
