--- a/crates/node/src/agent/announce.rs
+++ b/crates/node/src/agent/announce.rs
@@ -2,7 +2,7 @@
 //! how loaded, about once a second: `POST /v1/announce`.
 
 use super::Event;
-use crate::pages::{Extra, fault};
+use crate::pages::{Handler, error};
 use crossbeam::channel::Sender;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -65,26 +65,26 @@
 }
 
 /// The page that takes announcements.
-pub(crate) fn announce_page(ring: Sender<Event>) -> Extra {
+pub(crate) fn announce_page(channel: Sender<Event>) -> Handler {
     Box::new(move |method, path, body| {
         if (method, path) != ("POST", "/v1/announce") {
             return None;
         }
         let announcement: Announcement = match serde_json::from_slice(body) {
             Ok(a) => a,
-            Err(e) => return Some((400, fault(&e.to_string()))),
+            Err(e) => return Some((400, error(&e.to_string()))),
         };
-        if let Some(reason) = wrong(&announcement) {
-            return Some((400, fault(reason)));
+        if let Some(reason) = invalid_field(&announcement) {
+            return Some((400, error(reason)));
         }
-        match ring.try_send(Event::Announced(Box::new(announcement))) {
+        match channel.try_send(Event::Announced(Box::new(announcement))) {
             Ok(()) => Some((200, "{}".into())),
-            Err(_) => Some((503, fault("the agent is overloaded"))),
+            Err(_) => Some((503, error("the agent is overloaded"))),
         }
     })
 }
 
-fn wrong(a: &Announcement) -> Option<&'static str> {
+fn invalid_field(a: &Announcement) -> Option<&'static str> {
     match () {
         () if a.name.is_empty() => Some("name: give the id of the backend server"),
         () if a.service.is_empty() => Some("service: give the service it serves"),
--- a/crates/node/src/agent/engine.rs
+++ b/crates/node/src/agent/engine.rs
@@ -17,18 +17,18 @@
 use std::time::{Duration, Instant};
 
 /// Largest piece, in bytes.
-const PIECE: usize = 16 * 1024;
+const MAX_PIECE_BYTES: usize = 16 * 1024;
 /// How long a full link is waited for before the answer is given up.
-const LINK_PATIENCE: Duration = Duration::from_secs(2);
-const LINK_PAUSE: Duration = Duration::from_millis(1);
+const LINK_TIMEOUT: Duration = Duration::from_secs(2);
+const LINK_RETRY_INTERVAL: Duration = Duration::from_millis(1);
 /// Headers of the backend server's answer that callers get.
-const PASSED: [&str; 4] = ["content-type", "cache-control", "x-fake", "retry-after"];
+const FORWARDED_HEADERS: [&str; 4] = ["content-type", "cache-control", "x-fake", "retry-after"];
 
 /// A request to run.
-pub(crate) struct Work {
+pub(crate) struct BackendCall {
     pub(crate) net: Net,
-    pub(crate) ring: Sender<Event>,
-    pub(crate) base: String,
+    pub(crate) channel: Sender<Event>,
+    pub(crate) base_url: String,
     pub(crate) entry: SocketAddr,
     pub(crate) key: RunKey,
     pub(crate) dispatch: Dispatch,
@@ -39,56 +39,56 @@
 }
 
 /// How it ended.
-struct End {
+struct Completion {
     kind: Kind,
     length: u64,
     reason: String,
 }
 
-impl Work {
+impl BackendCall {
     /// Runs the request and reports its end; never asks twice.
     pub(crate) fn run(self) {
-        let end = self.ask();
+        let completion = self.execute();
         let finish = Finish {
             attempt: self.dispatch.attempt,
-            kind: end.kind.into(),
-            length: end.length,
-            reason: end.reason,
+            kind: completion.kind.into(),
+            length: completion.length,
+            reason: completion.reason,
             // This one has ended.
             running: self.running.load(Ordering::Relaxed).saturating_sub(1),
             full: false,
         };
         self.send(Body::Finish(finish));
-        self.tell(Event::Ended(self.key));
+        self.notify(Event::RequestEnded(self.key));
     }
 
     /// Tells the agent's thread. It is gone only where the process ends.
-    fn tell(&self, event: Event) {
-        if self.ring.send(event).is_err() {
+    fn notify(&self, event: Event) {
+        if self.channel.send(event).is_err() {
             log::info!("the agent's thread has ended before a request");
         }
     }
 
-    fn ask(&self) -> End {
+    fn execute(&self) -> Completion {
         self.send(Body::Started(Started {
             attempt: self.dispatch.attempt,
         }));
-        let sent = self.clock.now();
-        match self.request() {
-            Ok(response) => self.stream(sent, response),
+        let sent_at = self.clock.now();
+        match self.send_request() {
+            Ok(response) => self.stream(sent_at, response),
             Err(ureq::Error::Io(e)) if e.kind() == ErrorKind::ConnectionRefused => {
-                end(Kind::NotRun, 0, "the backend server refused the connection")
+                completion(Kind::NotRun, 0, "the backend server refused the connection")
             }
-            Err(e) => end(Kind::MayHaveRun, 0, &e.to_string()),
+            Err(e) => completion(Kind::MayHaveRun, 0, &e.to_string()),
         }
     }
 
-    fn request(&self) -> Result<http::Response<ureq::Body>, ureq::Error> {
+    fn send_request(&self) -> Result<http::Response<ureq::Body>, ureq::Error> {
         let d = &self.dispatch;
         let agent = http_client::once(Duration::from_millis(d.time_left_ms.max(1)));
         let mut request = http::Request::builder()
             .method(d.method.as_str())
-            .uri(format!("{}{}", self.base, d.path))
+            .uri(format!("{}{}", self.base_url, d.path))
             .header("x-attempt", format!("{:x}-{}", self.key.0, self.key.1))
             .header("x-priority", d.priority)
             .header("x-resume-at", d.resume_at);
@@ -106,7 +106,7 @@
     }
 
     /// The agent learns whether the backend server wants more, before its caller gets a byte.
-    fn tell_answer(&self, sent: Duration, head: &http::response::Parts) {
+    fn report_response(&self, sent_at: Duration, head: &http::response::Parts) {
         let backoff = match head.status {
             http::StatusCode::SERVICE_UNAVAILABLE => retry_after(&head.headers),
             _ => None,
@@ -115,35 +115,35 @@
             backoff,
             ..Directives::default()
         };
-        self.tell(Event::Answered(Feedback {
+        self.notify(Event::ResponseHead(Feedback {
             directives,
-            sent_at: sent,
+            sent_at,
             authentic: true,
         }));
     }
 
-    fn stream(&self, sent: Duration, response: http::Response<ureq::Body>) -> End {
+    fn stream(&self, sent_at: Duration, response: http::Response<ureq::Body>) -> Completion {
         let (head, body) = response.into_parts();
-        self.tell_answer(sent, &head);
-        let passed = |name: &&str| {
+        self.report_response(sent_at, &head);
+        let forwarded = |name: &&str| {
             let value = head.headers.get(*name)?.to_str().ok()?;
             Some(Header {
                 name: (*name).into(),
                 value: value.into(),
             })
         };
-        let mut headers: Vec<Header> = PASSED.iter().filter_map(passed).collect();
+        let mut headers: Vec<Header> = FORWARDED_HEADERS.iter().filter_map(forwarded).collect();
         let mut offset = self.dispatch.resume_at;
         let mut reader = body.into_reader();
-        let mut buffer = vec![0; PIECE];
+        let mut buffer = vec![0; MAX_PIECE_BYTES];
         let mut first = true;
         loop {
             if self.cancelled.load(Ordering::Relaxed) {
-                return end(Kind::MayHaveRun, offset, "cancelled");
+                return completion(Kind::MayHaveRun, offset, "cancelled");
             }
             let read = match reader.read(&mut buffer) {
                 Ok(n) => n,
-                Err(e) => return end(Kind::MayHaveRun, offset, &format!("cut: {e}")),
+                Err(e) => return completion(Kind::MayHaveRun, offset, &format!("cut: {e}")),
             };
             if read > 0 || first {
                 let piece = Piece {
@@ -156,7 +156,7 @@
                 first = false;
                 offset += read as u64;
                 if !self.send(Body::Piece(piece)) {
-                    return end(
+                    return completion(
                         Kind::MayHaveRun,
                         offset,
                         "the link to the entry takes nothing",
@@ -164,7 +164,7 @@
                 }
             }
             if read == 0 {
-                return end(Kind::Whole, offset, "");
+                return completion(Kind::Whole, offset, "");
             }
         }
     }
@@ -177,16 +177,16 @@
             if self.net.send(self.entry, body.clone()) {
                 return true;
             }
-            if start.elapsed() > LINK_PATIENCE || self.cancelled.load(Ordering::Relaxed) {
+            if start.elapsed() > LINK_TIMEOUT || self.cancelled.load(Ordering::Relaxed) {
                 return false;
             }
-            std::thread::sleep(LINK_PAUSE);
+            std::thread::sleep(LINK_RETRY_INTERVAL);
         }
     }
 }
 
-fn end(kind: Kind, length: u64, reason: &str) -> End {
-    End {
+fn completion(kind: Kind, length: u64, reason: &str) -> Completion {
+    Completion {
         kind,
         length,
         reason: reason.into(),
--- a/crates/node/src/agent/mod.rs
+++ b/crates/node/src/agent/mod.rs
@@ -28,9 +28,9 @@
 use std::time::Duration;
 
 const TICK: Duration = Duration::from_millis(20);
-const GROUP: usize = 256;
+const MAX_BATCH: usize = 256;
 /// A backend server that has not announced itself for this long is not served.
-const SILENCE: Duration = Duration::from_secs(3);
+const MAX_SILENCE: Duration = Duration::from_secs(3);
 
 /// What the agent thread is told.
 pub(crate) enum Event {
@@ -39,100 +39,100 @@
     /// A message of an entry.
     Message(Box<Envelope>),
     /// The head of an answer of the backend server.
-    Answered(Feedback),
+    ResponseHead(Feedback),
     /// A request ended.
-    Ended(RunKey),
+    RequestEnded(RunKey),
     /// Begin a graceful stop.
     Stop,
 }
 
 /// What makes a rank's report due at once when it changes: the leader, the fencing
 /// number, the versions that the engine loaded and knows.
-type RankTold = (Option<SocketAddr>, u64, u64, u64);
+type RankStatus = (Option<SocketAddr>, u64, u64, u64);
 
 /// One entry this agent reports to.
 #[derive(Default)]
-struct Attached {
-    due: Duration,
-    heard: Option<Duration>,
+struct EntryLink {
+    next_report: Duration,
+    last_contact: Option<Duration>,
     /// It has the profile of this start.
-    knows: bool,
+    has_profile: bool,
 }
 
 /// The agent role's state.
 pub(crate) struct Agent {
     common: Common,
-    ring: Sender<Event>,
+    channel: Sender<Event>,
     seeds: Vec<SocketAddr>,
-    entries: IndexMap<SocketAddr, Attached>,
+    entries: IndexMap<SocketAddr, EntryLink>,
     backend: Option<Announcement>,
-    announced: Duration,
+    announced_at: Duration,
     gate: Gate,
     /// What the backend server asks of its senders: of this agent, which is the only one.
-    terms: Backpressure,
+    backpressure: Backpressure,
     /// Whether it took requests when entries were told last.
-    told_open: bool,
+    reported_open: bool,
     /// The engine's place in its group.
     rank: RankGate,
-    orders: Sender<orders::Errand>,
+    orders: Sender<orders::EngineCommand>,
     /// Where the control leader listens.
     leader: Option<SocketAddr>,
     /// Digest of the entries it was told to report to.
     entries_digest: u32,
     /// Revision of the list of entries it follows.
-    followed: u64,
+    entries_revision: u64,
     /// When the leader was last told of the rank, and what.
-    rank_told: (Duration, RankTold),
+    last_rank_report: (Duration, RankStatus),
     /// Requests that run, each with its flag of being cancelled.
     running: HashMap<RunKey, Arc<AtomicBool>>,
     /// How many they are, for their threads to tell.
-    count: Arc<AtomicU32>,
+    running_count: Arc<AtomicU32>,
     stopping: bool,
 }
 
 impl Agent {
-    pub(crate) fn new(common: Common, conf: &Conf, ring: Sender<Event>) -> Agent {
+    pub(crate) fn new(common: Common, conf: &Conf, channel: Sender<Event>) -> Agent {
         Agent {
-            ring,
+            channel,
             seeds: conf.entries.clone(),
             entries: conf
                 .entries
                 .iter()
-                .map(|a| (*a, Attached::default()))
+                .map(|a| (*a, EntryLink::default()))
                 .collect(),
             backend: None,
-            announced: Duration::ZERO,
+            announced_at: Duration::ZERO,
             gate: Gate::default(),
-            terms: Backpressure::default(),
-            told_open: true,
+            backpressure: Backpressure::default(),
+            reported_open: true,
             rank: RankGate::new(common.net.incarnation()),
             orders: orders::start(common.events.clone()),
             common,
             leader: None,
             entries_digest: 0,
-            followed: 0,
-            rank_told: (Duration::ZERO, RankTold::default()),
+            entries_revision: 0,
+            last_rank_report: (Duration::ZERO, RankStatus::default()),
             running: HashMap::new(),
-            count: Arc::default(),
+            running_count: Arc::default(),
             stopping: false,
         }
     }
 
     /// Runs until a graceful stop is complete.
-    pub(crate) fn run(mut self, ring: &Receiver<Event>) -> Result<()> {
+    pub(crate) fn run(mut self, channel: &Receiver<Event>) -> Result<()> {
         loop {
-            match ring.recv_timeout(TICK) {
-                Ok(event) => self.take(event),
+            match channel.recv_timeout(TICK) {
+                Ok(event) => self.handle(event),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return Ok(()),
             }
-            for event in ring.try_iter().take(GROUP) {
-                self.take(event);
+            for event in channel.try_iter().take(MAX_BATCH) {
+                self.handle(event);
             }
             // Entries choose another one at once, and this one again when it wants more.
-            let open = self.takes(self.now());
-            let turned = std::mem::replace(&mut self.told_open, open) != open;
-            self.report(turned);
+            let open = self.accepts_requests(self.now());
+            let changed = std::mem::replace(&mut self.reported_open, open) != open;
+            self.report(changed);
             if self.stopping && self.running.is_empty() {
                 self.report(true);
                 return Ok(());
@@ -144,14 +144,14 @@
         self.common.clock.now()
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Announced(a) => self.on_announcement(*a),
-            Event::Message(envelope) => self.message(*envelope),
-            Event::Answered(answer) => self.on_answer(&answer),
-            Event::Ended(key) => {
+            Event::Message(envelope) => self.on_message(*envelope),
+            Event::ResponseHead(answer) => self.on_answer(&answer),
+            Event::RequestEnded(key) => {
                 self.running.remove(&key);
-                self.count
+                self.running_count
                     .store(self.running.len() as u32, Ordering::Relaxed);
             }
             Event::Stop => {
@@ -169,8 +169,8 @@
         let now = self.now();
         let name = self.backend.as_ref().map(|b| b.name.clone());
         let draw = rand::random();
-        let terms = &mut self.terms;
-        let changed = terms.on_response(
+        let backpressure = &mut self.backpressure;
+        let changed = backpressure.on_response(
             now,
             &name.unwrap_or_default(),
             feedback,
@@ -185,19 +185,19 @@
     }
 
     /// The backend server takes a request now, as far as it said.
-    fn takes(&self, now: Duration) -> bool {
-        self.terms.may_send(now)
+    fn accepts_requests(&self, now: Duration) -> bool {
+        self.backpressure.may_send(now)
     }
 
     fn on_announcement(&mut self, announcement: Announcement) {
         let now = self.now();
-        let first = self
+        let new_backend = self
             .backend
             .as_ref()
             .is_none_or(|b| b.address != announcement.address);
-        if first {
+        if new_backend {
             // Another one, which asked for nothing yet.
-            self.terms = Backpressure::default();
+            self.backpressure = Backpressure::default();
             let detail = format!("{} at {}", announcement.name, announcement.address);
             self.common.events.note("announced", detail);
         }
@@ -212,15 +212,17 @@
         self.gate.backend_leaving = announcement.leaving;
         self.gate.capacity = announcement.capacity;
         self.backend = Some(announcement);
-        self.announced = now;
-        if first || changed {
-            self.entries.values_mut().for_each(|e| e.knows = false);
+        self.announced_at = now;
+        if new_backend || changed {
+            self.entries
+                .values_mut()
+                .for_each(|e| e.has_profile = false);
             self.report(true);
         }
         self.report_rank();
     }
 
-    fn message(&mut self, envelope: Envelope) {
+    fn on_message(&mut self, envelope: Envelope) {
         let Ok(inbox) = envelope.inbox.parse::<SocketAddr>() else {
             return;
         };
@@ -242,13 +244,13 @@
     fn on_dispatch(&mut self, inbox: SocketAddr, incarnation: u64, dispatch: Dispatch) {
         let now = self.now();
         let key = (incarnation, dispatch.attempt);
-        let fresh = dispatch.agent == self.common.net.incarnation();
-        let present = now < self.announced + SILENCE;
+        let current = dispatch.agent == self.common.net.incarnation();
+        let present = now < self.announced_at + MAX_SILENCE;
         let backend = self.backend.as_ref().filter(|_| present);
         let refusal = match backend {
             None => Some("the backend server is not there"),
-            Some(_) if !fresh => Some("meant for an earlier start of this agent"),
-            Some(_) if !self.terms.may_send(now) => Some("the backend server wants rest"),
+            Some(_) if !current => Some("meant for an earlier start of this agent"),
+            Some(_) if !self.backpressure.may_send(now) => Some("the backend server wants rest"),
             Some(_) => {
                 let not_after = Duration::from_millis(dispatch.not_after_ms);
                 self.gate.refusal(now, key, not_after, self.running.len())
@@ -256,26 +258,26 @@
         };
         if let Some(reason) = refusal {
             metrics::counter!("gate_refused", "reason" => reason).increment(1);
-            return self.turn_away(inbox, dispatch.attempt, reason);
+            return self.reject(inbox, dispatch.attempt, reason);
         }
         let Some(backend) = backend else { return };
-        self.terms.on_sent(now);
+        self.backpressure.on_sent(now);
         let flag = Arc::new(AtomicBool::new(false));
         self.running.insert(key, flag.clone());
-        self.count
+        self.running_count
             .store(self.running.len() as u32, Ordering::Relaxed);
-        let work = engine::Work {
+        let call = engine::BackendCall {
             net: self.common.net.clone(),
-            ring: self.ring.clone(),
-            base: format!("http://{}", backend.address),
+            channel: self.channel.clone(),
+            base_url: format!("http://{}", backend.address),
             entry: inbox,
             key,
             dispatch,
             cancelled: flag,
             clock: self.common.clock,
-            running: self.count.clone(),
+            running: self.running_count.clone(),
         };
-        std::thread::spawn(move || work.run());
+        std::thread::spawn(move || call.run());
     }
 
     /// Passes an order on to the engine, if it is one of the latest leader known.
@@ -283,21 +285,23 @@
         let Some(engine) = self.backend.as_ref().map(|b| b.address) else {
             return;
         };
-        let Some(order) = order_in(raw) else { return };
+        let Some(order) = from_wire(raw) else {
+            return;
+        };
         if let Err(refusal) = self.rank.admit(&order) {
             metrics::counter!("orders_refused").increment(1);
             return log::warn!("order refused: {refusal}");
         }
         if self
             .orders
-            .try_send(orders::Errand { engine, order })
+            .try_send(orders::EngineCommand { engine, order })
             .is_err()
         {
             metrics::counter!("orders_dropped").increment(1);
         }
     }
 
-    fn turn_away(&self, inbox: SocketAddr, attempt: u64, reason: &str) {
+    fn reject(&self, inbox: SocketAddr, attempt: u64, reason: &str) {
         let finish = Finish {
             attempt,
             kind: Kind::NotRun.into(),
@@ -310,7 +314,7 @@
     }
 }
 
-fn order_in(raw: SwitchOrder) -> Option<Order> {
+fn from_wire(raw: SwitchOrder) -> Option<Order> {
     let kind = match raw.kind() {
         OrderWire::Prepare => OrderKind::Prepare {
             version: raw.version,
--- a/crates/node/src/agent/orders.rs
+++ b/crates/node/src/agent/orders.rs
@@ -12,27 +12,27 @@
 use std::time::Duration;
 
 /// Orders that wait; past that they are dropped, and come again with a later report.
-const RING: usize = 32;
-const PATIENCE: Duration = Duration::from_secs(2);
+const QUEUE_CAPACITY: usize = 32;
+const ENGINE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// An order on its way to an engine.
-pub(crate) struct Errand {
+pub(crate) struct EngineCommand {
     pub(crate) engine: SocketAddr,
     pub(crate) order: Order,
 }
 
 /// Starts the thread; orders go in at the ring that it returns.
-pub(crate) fn start(events: Arc<Events>) -> Sender<Errand> {
-    let (tx, rx) = bounded(RING);
-    thread::spawn(move || carry(&rx, &events));
+pub(crate) fn start(events: Arc<Events>) -> Sender<EngineCommand> {
+    let (tx, rx) = bounded(QUEUE_CAPACITY);
+    thread::spawn(move || send_commands(&rx, &events));
     tx
 }
 
-fn carry(ring: &Receiver<Errand>, events: &Events) {
-    for errand in ring {
-        let (path, body) = request(&errand.order);
-        let url = format!("http://{}/orders/{path}", errand.engine);
-        let sent = http_client::once(PATIENCE)
+fn send_commands(channel: &Receiver<EngineCommand>, events: &Events) {
+    for command in channel {
+        let (path, body) = encode(&command.order);
+        let url = format!("http://{}/orders/{path}", command.engine);
+        let sent = http_client::once(ENGINE_TIMEOUT)
             .post(&url)
             .send(body.to_string());
         match sent.map(|r| r.status().as_u16()) {
@@ -46,7 +46,7 @@
     }
 }
 
-fn request(order: &Order) -> (&'static str, serde_json::Value) {
+fn encode(order: &Order) -> (&'static str, serde_json::Value) {
     match &order.kind {
         OrderKind::Prepare { version, map } => (
             "prepare",
--- a/crates/node/src/caller.rs
+++ b/crates/node/src/caller.rs
@@ -20,17 +20,17 @@
 use tokio_rustls::TlsAcceptor;
 
 /// Pieces of one answer that wait for a slow caller; past that it is cut.
-pub(crate) const ANSWER_RING: usize = 1024;
+pub(crate) const ANSWER_CHANNEL_CAPACITY: usize = 1024;
 const JSON: &str = "application/json";
 /// Where a caller gives no deadline.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
-const LONGEST_DEADLINE: Duration = Duration::from_secs(600);
+const MAX_DEADLINE: Duration = Duration::from_secs(600);
 /// Bytes of a body that stand for its prompt's beginning.
 const PREFIX_BYTES: usize = 256;
 
 /// A part of an answer.
 #[derive(Debug)]
-pub(crate) enum Answer {
+pub(crate) enum AnswerPart {
     /// Status and headers of the backend server's answer.
     Head(u16, Vec<(String, String)>),
     /// The next bytes.
@@ -57,12 +57,12 @@
     pub(crate) priority: Priority,
     pub(crate) time_left: Duration,
     pub(crate) prefix: Option<u64>,
-    pub(crate) answer: mpsc::Sender<Answer>,
+    pub(crate) answer: mpsc::Sender<AnswerPart>,
 }
 
 /// What each connection needs.
 struct Shared {
-    ring: Sender<Event>,
+    channel: Sender<Event>,
     max_body: usize,
 }
 
@@ -70,10 +70,10 @@
 pub(crate) fn serve(
     listener: TcpListener,
     tls: Option<TlsAcceptor>,
-    ring: Sender<Event>,
+    channel: Sender<Event>,
     max_body: usize,
 ) -> io::Result<()> {
-    let shared = Arc::new(Shared { ring, max_body });
+    let shared = Arc::new(Shared { channel, max_body });
     bn_serve::serve(listener, "callers", tls, move |request| {
         handle(request, shared.clone())
     })
@@ -84,11 +84,11 @@
     match (request.method(), path.as_str()) {
         (&Method::GET, "/v1/addresses") => addresses(&shared).await,
         (&Method::GET, "/healthz") => text(200, "text/plain", "ok\n"),
-        _ if path.starts_with("/svc/") => match arrival(request, shared.max_body).await {
+        _ if path.starts_with("/svc/") => match read_arrival(request, shared.max_body).await {
             Ok((arrival, answers)) => forward(arrival, answers, &shared).await,
-            Err(refusal) => refuse(&refusal),
+            Err(refusal) => refusal_response(&refusal),
         },
-        _ => refuse(&Refusal::not_run(
+        _ => refusal_response(&Refusal::not_run(
             404,
             "ask /v1/addresses or /svc/<service>/<path>",
         )),
@@ -97,37 +97,37 @@
 
 async fn addresses(shared: &Shared) -> Response<Body> {
     let (tx, rx) = oneshot::channel();
-    if shared.ring.try_send(Event::Addresses(tx)).is_err() {
-        return refuse(&busy());
+    if shared.channel.try_send(Event::Addresses(tx)).is_err() {
+        return refusal_response(&overloaded());
     }
     match rx.await {
         Ok(json) => text(200, JSON, json),
-        Err(_) => refuse(&busy()),
+        Err(_) => refusal_response(&overloaded()),
     }
 }
 
-fn busy() -> Refusal {
-    Refusal::not_run(503, "this entry is overloaded").retry(Duration::from_secs(1))
+fn overloaded() -> Refusal {
+    Refusal::not_run(503, "this entry is overloaded").retry_after(Duration::from_secs(1))
 }
 
 async fn forward(
     arrival: Arrival,
-    mut answers: mpsc::Receiver<Answer>,
+    mut answers: mpsc::Receiver<AnswerPart>,
     shared: &Shared,
 ) -> Response<Body> {
     if shared
-        .ring
+        .channel
         .try_send(Event::Arrival(Box::new(arrival)))
         .is_err()
     {
         metrics::counter!("entry_ring_full").increment(1);
-        return refuse(&busy());
+        return refusal_response(&overloaded());
     }
     match answers.recv().await {
-        Some(Answer::Head(status, headers)) => stream(status, headers, answers),
-        Some(Answer::Refused(refusal)) => refuse(&refusal),
+        Some(AnswerPart::Head(status, headers)) => stream(status, headers, answers),
+        Some(AnswerPart::Refused(refusal)) => refusal_response(&refusal),
         // The entry's thread dropped the request without a word: a fault of ours.
-        _ => refuse(&Refusal::may_have_run(500, "the entry lost the request")),
+        _ => refusal_response(&Refusal::may_have_run(500, "the entry lost the request")),
     }
 }
 
@@ -136,11 +136,11 @@
 fn stream(
     status: u16,
     headers: Vec<(String, String)>,
-    answers: mpsc::Receiver<Answer>,
+    answers: mpsc::Receiver<AnswerPart>,
 ) -> Response<Body> {
-    let body = StreamBody::new(Pieces {
+    let body = StreamBody::new(AnswerStream {
         answers,
-        ended: false,
+        finished: false,
     });
     let mut response = Response::new(BodyExt::boxed(body));
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::OK);
@@ -153,40 +153,40 @@
     response
 }
 
-struct Pieces {
-    answers: mpsc::Receiver<Answer>,
-    ended: bool,
+struct AnswerStream {
+    answers: mpsc::Receiver<AnswerPart>,
+    finished: bool,
 }
 
-impl futures_core::Stream for Pieces {
+impl futures_core::Stream for AnswerStream {
     type Item = io::Result<Frame<Bytes>>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
-        if self.ended {
+        if self.finished {
             return Poll::Ready(None);
         }
         self.answers.poll_recv(cx).map(|answer| match answer {
-            Some(Answer::Data(bytes)) => Some(Ok(Frame::data(Bytes::from(bytes)))),
-            Some(Answer::End) => {
-                self.ended = true;
+            Some(AnswerPart::Data(bytes)) => Some(Ok(Frame::data(Bytes::from(bytes)))),
+            Some(AnswerPart::End) => {
+                self.finished = true;
                 None
             }
             other => {
-                self.ended = true;
-                let why = match other {
-                    Some(Answer::Cut(why)) => why,
+                self.finished = true;
+                let reason = match other {
+                    Some(AnswerPart::Cut(reason)) => reason,
                     _ => "the entry lost the request".into(),
                 };
-                Some(Err(io::Error::other(why)))
+                Some(Err(io::Error::other(reason)))
             }
         })
     }
 }
 
-async fn arrival(
+async fn read_arrival(
     request: Request<Incoming>,
     max_body: usize,
-) -> Result<(Arrival, mpsc::Receiver<Answer>), Refusal> {
+) -> Result<(Arrival, mpsc::Receiver<AnswerPart>), Refusal> {
     let (parts, body) = request.into_parts();
     let path = parts.uri.path().trim_start_matches("/svc/");
     let (service, rest) = path.split_once('/').unwrap_or((path, ""));
@@ -195,18 +195,18 @@
         .query()
         .map(|q| format!("?{q}"))
         .unwrap_or_default();
-    let key_hash = bearer(&parts.headers)?;
+    let key_hash = bearer_key_hash(&parts.headers)?;
     let idempotency = idempotency(&parts.headers)?;
     let priority = priority(&parts.headers)?;
     let time_left = deadline(&parts.headers)?;
     let body = checked_body(body, max_body).await?;
-    let (answer, answers) = mpsc::channel(ANSWER_RING);
+    let (answer, answers) = mpsc::channel(ANSWER_CHANNEL_CAPACITY);
     let arrival = Arrival {
         service: service.to_string(),
         method: parts.method.to_string(),
         path: format!("/{rest}{query}"),
-        headers: passed_on(&parts.headers),
-        prefix: prefix(&body),
+        headers: forwarded_headers(&parts.headers),
+        prefix: prefix_hash(&body),
         body,
         key_hash,
         idempotency,
@@ -226,7 +226,7 @@
         .map_err(|_| Refusal::not_run(400, format!("{name}: not plain text")))
 }
 
-fn bearer(headers: &HeaderMap) -> Result<String, Refusal> {
+fn bearer_key_hash(headers: &HeaderMap) -> Result<String, Refusal> {
     let value = header(headers, AUTHORIZATION.as_str())?;
     let key = value
         .and_then(|v| v.strip_prefix("Bearer "))
@@ -239,8 +239,8 @@
     let Some(key) = header(headers, "idempotency-key")? else {
         return Ok(None);
     };
-    let wrong = || Refusal::not_run(400, "Idempotency-Key: give a UUID of version 7");
-    bn_claim::mint_time(key).ok_or_else(wrong)?;
+    let invalid = || Refusal::not_run(400, "Idempotency-Key: give a UUID of version 7");
+    bn_claim::mint_time(key).ok_or_else(invalid)?;
     Ok(Some(key.to_ascii_lowercase()))
 }
 
@@ -248,8 +248,8 @@
     let Some(name) = header(headers, "x-priority")? else {
         return Ok(Priority::Normal);
     };
-    let wrong = || Refusal::not_run(400, "X-Priority: give urgent, normal or batch");
-    Priority::parse(name).ok_or_else(wrong)
+    let invalid = || Refusal::not_run(400, "X-Priority: give urgent, normal or batch");
+    Priority::parse(name).ok_or_else(invalid)
 }
 
 fn deadline(headers: &HeaderMap) -> Result<Duration, Refusal> {
@@ -261,8 +261,8 @@
         .ok()
         .filter(|ms| *ms > 0)
         .map(Duration::from_millis);
-    let wrong = || Refusal::not_run(400, "X-Deadline-Ms: give the milliseconds you will wait");
-    ms.map(|d| d.min(LONGEST_DEADLINE)).ok_or_else(wrong)
+    let invalid = || Refusal::not_run(400, "X-Deadline-Ms: give the milliseconds you will wait");
+    ms.map(|d| d.min(MAX_DEADLINE)).ok_or_else(invalid)
 }
 
 async fn checked_body(body: Incoming, most: usize) -> Result<Vec<u8>, Refusal> {
@@ -277,8 +277,8 @@
 }
 
 /// Headers the backend server gets; the connection's own and the key stay here.
-fn passed_on(headers: &HeaderMap) -> Vec<(String, String)> {
-    let kept = [
+fn forwarded_headers(headers: &HeaderMap) -> Vec<(String, String)> {
+    let allowed = [
         "content-type",
         "accept",
         "accept-language",
@@ -287,13 +287,14 @@
     ];
     let pair = |(n, v): (&HeaderName, &HeaderValue)| {
         let value = v.to_str().ok()?;
-        kept.contains(&n.as_str())
+        allowed
+            .contains(&n.as_str())
             .then(|| (n.to_string(), value.to_string()))
     };
     headers.iter().filter_map(pair).collect()
 }
 
-fn prefix(body: &[u8]) -> Option<u64> {
+fn prefix_hash(body: &[u8]) -> Option<u64> {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let start = body.get(..PREFIX_BYTES)?;
     let mut hasher = DefaultHasher::new();
@@ -301,18 +302,18 @@
     Some(hasher.finish())
 }
 
-fn refuse(refusal: &Refusal) -> Response<Body> {
+fn refusal_response(refusal: &Refusal) -> Response<Body> {
     let verdict = refusal.verdict.name();
     metrics::counter!("refused", "verdict" => verdict, "status" => refusal.status.to_string())
         .increment(1);
-    let retry_ms = refusal.retry.map(|d| d.as_millis() as u64);
+    let retry_ms = refusal.retry_after.map(|d| d.as_millis() as u64);
     let json = serde_json::json!({
         "verdict": verdict, "reason": refusal.reason, "retry_after_ms": retry_ms,
     });
     let mut response = text(refusal.status, JSON, format!("{json}\n"));
     let headers = response.headers_mut();
     headers.insert("x-verdict", HeaderValue::from_static(verdict));
-    if let Some(retry) = refusal.retry {
+    if let Some(retry) = refusal.retry_after {
         let seconds = retry.as_secs_f64().ceil() as u64;
         headers.insert("retry-after", HeaderValue::from(seconds));
     }
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -17,7 +17,7 @@
 }
 
 /// Wall time since 1970.
-pub(crate) fn wall() -> Duration {
+pub(crate) fn unix_time() -> Duration {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
--- a/crates/node/src/control/groups.rs
+++ b/crates/node/src/control/groups.rs
@@ -38,10 +38,10 @@
         report: SwitchReport,
     ) {
         let now = self.now();
-        if !self.quorum.holds_lease(now) {
+        if !self.replica.holds_lease(now) {
             return;
         }
-        self.settle_groups();
+        self.sync_groups();
         let key = (report.group.clone(), report.rank);
         let Some(coordinator) = self.groups.coordinators.get_mut(&report.group) else {
             return;
@@ -56,65 +56,67 @@
             prepared: report.prepared,
         };
         let actions = coordinator.on_report(now, report.rank, rank);
-        self.carry_out(&report.group, actions);
+        self.execute(&report.group, actions);
     }
 
     pub(super) fn tick_groups(&mut self, now: Duration) {
-        self.settle_groups();
+        self.sync_groups();
         let names: Vec<String> = self.groups.coordinators.keys().cloned().collect();
         for name in names {
             let coordinator = self.groups.coordinators.get_mut(&name);
             let actions = coordinator.map(|c| c.tick(now)).unwrap_or_default();
-            self.carry_out(&name, actions);
+            self.execute(&name, actions);
         }
     }
 
     /// Brings the coordinators to the applied state.
-    fn settle_groups(&mut self) {
+    fn sync_groups(&mut self) {
         let groups = &self.state.groups;
         self.groups
             .coordinators
             .retain(|name, _| groups.contains_key(name));
         for (name, group) in groups {
-            let settled = settled(group);
+            let committed = committed_state(group);
             match self.groups.coordinators.get_mut(name) {
-                Some(coordinator) => coordinator.update_committed(settled),
+                Some(coordinator) => coordinator.update_committed(committed),
                 None => {
                     let steps = self.grant_steps;
-                    let fresh = Coordinator::new(self.groups.fence, steps, settled);
-                    self.groups.coordinators.insert(name.clone(), fresh);
+                    let coordinator = Coordinator::new(self.groups.fence, steps, committed);
+                    self.groups.coordinators.insert(name.clone(), coordinator);
                 }
             }
         }
     }
 
-    fn carry_out(&mut self, group: &str, actions: Vec<Action>) {
+    fn execute(&mut self, group: &str, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send(rank, order) => {
                     if let Some(inbox) = self.groups.inboxes.get(&(group.to_string(), rank)) {
-                        let order = order_out(group, order);
+                        let order = to_wire(group, order);
                         self.common.net.send(*inbox, Body::SwitchOrder(order));
                     }
                 }
                 Action::Commit { version, from } => {
                     let detail = format!("{group}: version {version} from step {from}");
                     self.common.events.note("switch", detail);
-                    self.propose_own(format!("switch group {group} commit={version} step={from}"));
+                    self.propose_command(format!(
+                        "switch group {group} commit={version} step={from}"
+                    ));
                 }
                 Action::Reserve { until } => {
-                    self.propose_own(format!("switch group {group} reserve={until}"));
+                    self.propose_command(format!("switch group {group} reserve={until}"));
                 }
                 Action::Cancel { version, reason } => {
                     let detail = format!("{group}: version {version} given up: {reason}");
                     self.common.events.note("switch", detail);
-                    self.propose_own(format!("switch group {group} cancel={version}"));
+                    self.propose_command(format!("switch group {group} cancel={version}"));
                 }
             }
         }
     }
 
-    fn propose_own(&mut self, text: String) {
+    fn propose_command(&mut self, text: String) {
         let (operator, token) = (LEADER_OPERATOR.to_string(), String::new());
         let command = Command {
             operator,
@@ -123,13 +125,13 @@
             text,
         };
         let bytes = wire::Command::from(&command).encode_to_vec();
-        if let Err(e) = self.quorum.propose(bytes) {
+        if let Err(e) = self.replica.propose(bytes) {
             log::warn!("own command: {e}");
         }
     }
 }
 
-fn settled(group: &Group) -> CommittedState {
+fn committed_state(group: &Group) -> CommittedState {
     CommittedState {
         version: group.map_version,
         first_step: group.map_step,
@@ -143,7 +145,7 @@
     }
 }
 
-fn order_out(group: &str, order: Order) -> SwitchOrder {
+fn to_wire(group: &str, order: Order) -> SwitchOrder {
     let mut out = SwitchOrder {
         group: group.into(),
         fence: order.fence,
--- a/crates/node/src/control/lease.rs
+++ b/crates/node/src/control/lease.rs
@@ -12,14 +12,14 @@
 use std::time::Duration;
 
 /// How long an entry may act on a configuration after it asked.
-pub(crate) const LEASE: Duration = Duration::from_secs(3);
+pub(crate) const LEASE_DURATION: Duration = Duration::from_secs(3);
 /// Entries sent in one grant at most; past that a snapshot goes.
-const DELTA: usize = 256;
+const MAX_DELTA: usize = 256;
 
 /// One entry's lease as the leader knows it.
 struct Holder {
     inbox: SocketAddr,
-    until: Duration,
+    expires_at: Duration,
     acked: u64,
     leaving: bool,
 }
@@ -28,52 +28,52 @@
 #[derive(Default)]
 pub(crate) struct Leases {
     holders: IndexMap<String, Holder>,
-    since: Duration,
-    split: RateAllocator,
+    started_at: Duration,
+    allocator: RateAllocator,
 }
 
 impl Leases {
     /// A new leader: leases of an earlier one are unknown and may hold for a while.
     pub(crate) fn start(&mut self, now: Duration) {
         self.holders.clear();
-        self.split = RateAllocator::default();
-        self.since = now;
+        self.allocator = RateAllocator::default();
+        self.started_at = now;
     }
 
     /// Every entry acts on `revision` or later, or on nothing.
     pub(crate) fn in_force(&self, now: Duration, revision: u64) -> bool {
-        let holds = |h: &Holder| h.acked >= revision || h.until <= now;
-        now >= self.since + LEASE && self.holders.values().all(holds)
+        let reached = |h: &Holder| h.acked >= revision || h.expires_at <= now;
+        now >= self.started_at + LEASE_DURATION && self.holders.values().all(reached)
     }
 
     pub(crate) fn rows(&self) -> impl Iterator<Item = (&String, Duration, u64, bool)> {
         self.holders
             .iter()
-            .map(|(id, h)| (id, h.until, h.acked, h.leaving))
+            .map(|(id, h)| (id, h.expires_at, h.acked, h.leaving))
     }
 
     /// Entries that callers should not be sent to.
-    fn away(&self, now: Duration, entries: impl Iterator<Item = String>) -> Vec<String> {
-        if now < self.since + LEASE {
+    fn unavailable(&self, now: Duration, entries: impl Iterator<Item = String>) -> Vec<String> {
+        if now < self.started_at + LEASE_DURATION {
             return Vec::new();
         }
-        let gone = |id: &String| {
+        let absent = |id: &String| {
             let holder = self.holders.get(id);
-            holder.is_none_or(|h| h.leaving || h.until <= now)
+            holder.is_none_or(|h| h.leaving || h.expires_at <= now)
         };
-        entries.filter(gone).collect()
+        entries.filter(absent).collect()
     }
 }
 
 impl Control {
-    pub(super) fn on_lease_ask(&mut self, from: &str, inbox: SocketAddr, ask: &LeaseAsk) {
+    pub(super) fn on_lease_request(&mut self, from: &str, inbox: SocketAddr, request: &LeaseAsk) {
         let now = self.now();
         let refusal = match () {
-            () if !self.quorum.holds_lease(now) => "not a leader under lease",
+            () if !self.replica.holds_lease(now) => "not a leader under lease",
             () if !self.state.entries.contains_key(from) => "unknown entry: create it first",
             // It has applied what this leader has not committed: it follows another
             // log, or this leader is the old one. Granting would revert it.
-            () if ask.revision > self.quorum.commit() => "ahead of this leader",
+            () if request.revision > self.replica.commit() => "ahead of this leader",
             () => "",
         };
         if !refusal.is_empty() {
@@ -91,9 +91,9 @@
         }
         let holder = Holder {
             inbox,
-            until: now + LEASE,
-            acked: ask.revision,
-            leaving: ask.leaving,
+            expires_at: now + LEASE_DURATION,
+            acked: request.revision,
+            leaving: request.leaving,
         };
         let known = self.leases.holders.insert(from.into(), holder);
         if known.is_none() {
@@ -101,8 +101,8 @@
                 .events
                 .note("lease", format!("first lease to {from}"));
         }
-        let parts = self.parts(now, from, ask);
-        self.grant(now, inbox, ask.revision, ask.sent_ms, parts);
+        let rate_shares = self.rate_shares(now, from, request);
+        self.grant(now, inbox, request.revision, request.sent_ms, rate_shares);
     }
 
     /// Sends every holder what it lacks; the lease itself is not lengthened, since
@@ -121,40 +121,40 @@
     }
 
     pub(super) fn leader_inbox(&self) -> Option<SocketAddr> {
-        let leader = self.quorum.leader()?;
-        self.quorum.members().get(leader)?.address.parse().ok()
+        let leader = self.replica.leader()?;
+        self.replica.members().get(leader)?.address.parse().ok()
     }
 
     /// This entry's parts of the rates of the accounts it has demand for. Parts that
     /// an earlier leader gave are unknown and hold for a lease: until they have lapsed
     /// nothing is given, or the sum could pass an account's rate.
-    fn parts(&mut self, now: Duration, entry: &str, ask: &LeaseAsk) -> Vec<AccountRate> {
-        if now < self.leases.since + LEASE {
+    fn rate_shares(&mut self, now: Duration, entry: &str, request: &LeaseAsk) -> Vec<AccountRate> {
+        if now < self.leases.started_at + LEASE_DURATION {
             return Vec::new();
         }
         let entries = self.state.entries.len();
-        let mut parts = Vec::new();
-        for asked in &ask.demand {
-            let Some(account) = self.state.accounts.get(&asked.account) else {
+        let mut rate_shares = Vec::new();
+        for demand in &request.demand {
+            let Some(account) = self.state.accounts.get(&demand.account) else {
                 continue;
             };
-            let part = ShareRequest {
-                account: &asked.account,
+            let share_request = ShareRequest {
+                account: &demand.account,
                 entry,
-                demand: f64::from(asked.rate),
+                demand: f64::from(demand.rate),
                 rate: account.rate,
                 entries,
-                until: now + LEASE,
-                sequence: ask.sent_ms,
-                applied: ask.acted_ms,
+                until: now + LEASE_DURATION,
+                sequence: request.sent_ms,
+                applied: request.acted_ms,
             };
-            let rate = self.leases.split.allocate(now, &part) as f32;
-            parts.push(AccountRate {
-                account: asked.account.clone(),
+            let rate = self.leases.allocator.allocate(now, &share_request) as f32;
+            rate_shares.push(AccountRate {
+                account: demand.account.clone(),
                 rate,
             });
         }
-        parts
+        rate_shares
     }
 
     fn grant(
@@ -163,22 +163,22 @@
         inbox: SocketAddr,
         revision: u64,
         sent_ms: u64,
-        parts: Vec<AccountRate>,
+        rate_shares: Vec<AccountRate>,
     ) {
         let names = self.state.entries.keys().cloned();
         let mut grant = LeaseGrant {
             sent_ms,
-            lease_ms: if sent_ms == 0 { 0 } else { ms(LEASE) },
+            lease_ms: if sent_ms == 0 { 0 } else { ms(LEASE_DURATION) },
             revision: self.state.revision,
-            fence: self.quorum.term(),
-            away: self.leases.away(now, names),
-            parts,
+            fence: self.replica.term(),
+            away: self.leases.unavailable(now, names),
+            parts: rate_shares,
             ..LeaseGrant::default()
         };
         match self
-            .quorum
+            .replica
             .committed_after(revision)
-            .filter(|d| d.len() <= DELTA)
+            .filter(|d| d.len() <= MAX_DELTA)
         {
             Some(delta) => {
                 let commands = delta
--- a/crates/node/src/control/members.rs
+++ b/crates/node/src/control/members.rs
@@ -8,32 +8,32 @@
     /// that came back with an empty folder is removed and joins anew as a learner:
     /// as the old voter it could forget what it had acknowledged.
     pub(super) fn reconcile_members(&mut self) {
-        let wanted = &self.state.members;
-        if wanted.is_empty() {
+        let desired = &self.state.members;
+        if desired.is_empty() {
             return;
         }
-        let members = self.quorum.members();
-        let emptied = self
-            .quorum
+        let members = self.replica.members();
+        let identity_changed = self
+            .replica
             .member_statuses()
             .into_iter()
             .find(|s| !s.identity_matches);
-        let moved = |id: &String| {
+        let differs = |id: &String| {
             let now = members.get(id).map(|m| m.address.clone());
-            wanted.get(id).map(ToString::to_string) != now
+            desired.get(id).map(ToString::to_string) != now
         };
-        let away = emptied
+        let outdated = identity_changed
             .map(|s| s.id)
-            .or_else(|| members.keys().find(|id| moved(id)).cloned());
-        if let Some(id) = away {
-            if self.quorum.remove(&id).is_ok() {
+            .or_else(|| members.keys().find(|id| differs(id)).cloned());
+        if let Some(id) = outdated {
+            if self.replica.remove(&id).is_ok() {
                 self.common.events.note("member", format!("removing {id}"));
             }
             return;
         }
-        let fresh = wanted.iter().find(|(id, _)| !members.contains_key(*id));
-        if let Some((id, inbox)) = fresh.map(|(id, inbox)| (id.clone(), inbox.to_string()))
-            && self.quorum.add_learner(&id, &inbox).is_ok()
+        let missing = desired.iter().find(|(id, _)| !members.contains_key(*id));
+        if let Some((id, inbox)) = missing.map(|(id, inbox)| (id.clone(), inbox.to_string()))
+            && self.replica.add_learner(&id, &inbox).is_ok()
         {
             self.common
                 .events
@@ -43,18 +43,18 @@
 
     pub(super) fn members_table(&self) -> Table {
         let mut t = Table::new(&["member", "inbox", "state", "synced", "behind", "leader"]);
-        let last = self.quorum.last_index();
-        let settled = self.quorum.members_committed();
-        for standing in self.quorum.member_statuses() {
-            let (id, matched) = (standing.id, standing.synced);
-            let Some(member) = self.quorum.members().get(&id) else {
+        let last = self.replica.last_index();
+        let committed = self.replica.members_committed();
+        for status in self.replica.member_statuses() {
+            let (id, matched) = (status.id, status.synced);
+            let Some(member) = self.replica.members().get(&id) else {
                 continue;
             };
             let state = match () {
-                () if !standing.identity_matches => "emptied",
-                () if standing.silent => "silent",
+                () if !status.identity_matches => "emptied",
+                () if status.silent => "silent",
                 () if !member.voter => "learner",
-                () if settled => "voter",
+                () if committed => "voter",
                 () => "joining",
             };
             t.rows.push(vec![
@@ -63,7 +63,7 @@
                 state.into(),
                 (matched as f64).into(),
                 (last.saturating_sub(matched) as f64).into(),
-                (id == *self.quorum.id()).into(),
+                (id == *self.replica.id()).into(),
             ]);
         }
         t
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -26,7 +26,7 @@
 /// Longest wait for an event.
 const TICK: Duration = Duration::from_millis(10);
 /// Events taken before one write: group commit.
-const GROUP: usize = 512;
+const MAX_BATCH: usize = 512;
 /// Entries after which a snapshot replaces the log.
 const SNAPSHOT_ENTRIES: u64 = 1000;
 
@@ -41,7 +41,7 @@
 /// The control role's state.
 pub(crate) struct Control {
     common: Common,
-    quorum: Replica,
+    replica: Replica,
     store: Store,
     state: State,
     /// Index of the last entry applied, of whatever kind.
@@ -49,7 +49,7 @@
     /// The first command, for a system that has none yet.
     seed: Option<Command>,
     leases: lease::Leases,
-    waits: propose::Waits,
+    proposals: propose::Proposals,
     groups: groups::Groups,
     /// Steps that groups may run ahead of their slowest rank.
     grant_steps: u64,
@@ -62,15 +62,15 @@
     /// Opens the data folder and starts the replica from it.
     pub(crate) fn open(common: Common, conf: &bn_conf::Control) -> Result<Control> {
         let (store, loaded) = Store::open(&conf.data, rand::random::<u64>() | 1, Disk::default())?;
-        let what = format!(
+        let detail = format!(
             "identity {:016x}, {} entries, snapshot at {}, {} torn bytes cut",
             loaded.identity,
             loaded.entries.len(),
             loaded.snapshot.as_ref().map_or(0, |s| s.index),
             loaded.cut_bytes
         );
-        common.events.note("data", what);
-        let first = |p: &bn_conf::Peer| {
+        common.events.note("data", detail);
+        let initial_member = |p: &bn_conf::Peer| {
             let address = p.inbox.to_string();
             (
                 p.id.clone(),
@@ -81,10 +81,10 @@
                 },
             )
         };
-        let setup = ReplicaConfig {
+        let config = ReplicaConfig {
             id: common.id.clone(),
             identity: loaded.identity,
-            initial_members: conf.peers.iter().map(first).collect(),
+            initial_members: conf.peers.iter().map(initial_member).collect(),
             timing: Timing::default(),
             seed: rand::random(),
         };
@@ -93,17 +93,17 @@
             Some(s) => (decode_state(&s.state)?, s.index),
             None => (State::default(), 0),
         };
-        let quorum = Replica::new(setup, restored, common.clock.now());
-        let role = quorum.role();
+        let replica = Replica::new(config, restored, common.clock.now());
+        let role = replica.role();
         Ok(Control {
             common,
-            quorum,
+            replica,
             store,
             state,
             applied,
             seed: conf.seed.as_deref().map(seed).transpose()?,
             leases: lease::Leases::default(),
-            waits: propose::Waits::default(),
+            proposals: propose::Proposals::default(),
             groups: groups::Groups::default(),
             grant_steps: conf.grant_steps,
             inboxes: HashMap::new(),
@@ -112,23 +112,23 @@
     }
 
     /// Runs until told to stop, or the disk fails.
-    pub(crate) fn run(mut self, ring: &Receiver<Event>) -> Result<()> {
+    pub(crate) fn run(mut self, channel: &Receiver<Event>) -> Result<()> {
         loop {
-            match ring.recv_timeout(TICK) {
+            match channel.recv_timeout(TICK) {
                 Ok(Event::Stop) | Err(RecvTimeoutError::Disconnected) => return Ok(()),
-                Ok(Event::Message(m)) => self.take(*m),
+                Ok(Event::Message(m)) => self.on_message(*m),
                 Err(RecvTimeoutError::Timeout) => {}
             }
-            for event in ring.try_iter().take(GROUP) {
+            for event in channel.try_iter().take(MAX_BATCH) {
                 match event {
                     Event::Stop => return Ok(()),
-                    Event::Message(m) => self.take(*m),
+                    Event::Message(m) => self.on_message(*m),
                 }
             }
             let now = self.now();
-            self.quorum.tick(now);
+            self.replica.tick(now);
             self.flush()?;
-            self.lead(now);
+            self.run_leader(now);
             self.flush()?;
         }
     }
@@ -137,7 +137,7 @@
         self.common.clock.now()
     }
 
-    fn take(&mut self, envelope: Envelope) {
+    fn on_message(&mut self, envelope: Envelope) {
         let Ok(inbox) = envelope.inbox.parse::<SocketAddr>() else {
             return;
         };
@@ -146,10 +146,10 @@
             Some(Body::Quorum(m)) => {
                 if let Ok(message) = Message::try_from(m) {
                     let now = self.now();
-                    self.quorum.receive(now, &envelope.from, message);
+                    self.replica.receive(now, &envelope.from, message);
                 }
             }
-            Some(Body::LeaseAsk(ask)) => self.on_lease_ask(&envelope.from, inbox, &ask),
+            Some(Body::LeaseAsk(request)) => self.on_lease_request(&envelope.from, inbox, &request),
             Some(Body::Proposal(p)) => self.on_proposal(inbox, p),
             Some(Body::SwitchReport(r)) => self.on_switch_report(envelope.incarnation, inbox, r),
             _ => {}
@@ -160,7 +160,7 @@
     /// left before the sync could acknowledge what a crash then forgets.
     fn flush(&mut self) -> Result<()> {
         loop {
-            let out = self.quorum.take_output();
+            let out = self.replica.take_output();
             if out == Output::default() {
                 return Ok(());
             }
@@ -199,7 +199,7 @@
 
     fn send(&self, to: &str, message: &Message) {
         let member = self
-            .quorum
+            .replica
             .members()
             .get(to)
             .and_then(|m| m.address.parse().ok());
@@ -222,7 +222,7 @@
             Payload::Command(bytes) => match wire::Command::decode(&bytes[..]) {
                 Ok(command) => {
                     let outcome = self.state.apply(entry.index, &command.into());
-                    self.answer_wait(entry.index, &outcome);
+                    self.complete_proposals(entry.index, &outcome);
                 }
                 // Every replica skips it alike.
                 Err(_) => log::error!("entry {} does not decode", entry.index),
@@ -231,18 +231,18 @@
     }
 
     fn compact(&mut self) -> Result<()> {
-        if self.applied < self.quorum.snapshot().index + SNAPSHOT_ENTRIES {
+        if self.applied < self.replica.snapshot().index + SNAPSHOT_ENTRIES {
             return Ok(());
         }
         let state = wire::State::from(&self.state).encode_to_vec();
-        if let Some(snapshot) = self.quorum.compact(self.applied, state) {
-            let rest = self
-                .quorum
+        if let Some(snapshot) = self.replica.compact(self.applied, state) {
+            let remaining = self
+                .replica
                 .entries_after(snapshot.index)
                 .iter()
                 .map(Into::into)
                 .collect();
-            self.store.snapshot(&(&snapshot).into(), rest)?;
+            self.store.snapshot(&(&snapshot).into(), remaining)?;
             self.common
                 .events
                 .note("snapshot", format!("taken at {}", snapshot.index));
@@ -251,23 +251,23 @@
     }
 
     /// What a leader does with each turn.
-    fn lead(&mut self, now: Duration) {
-        let role = self.quorum.role();
+    fn run_leader(&mut self, now: Duration) {
+        let role = self.replica.role();
         if role != self.role {
             self.role = role;
-            let detail = format!("{role:?} in term {}", self.quorum.term());
+            let detail = format!("{role:?} in term {}", self.replica.term());
             self.common.events.note("role", detail);
             if role == Role::Leader {
                 self.leases.start(now);
-                self.groups.start(self.quorum.term());
+                self.groups.start(self.replica.term());
             }
         }
         if role != Role::Leader {
-            self.waits.clear();
+            self.proposals.clear();
             return;
         }
-        if self.quorum.holds_lease(now) {
-            self.sow();
+        if self.replica.holds_lease(now) {
+            self.propose_seed();
             self.reconcile_members();
             self.answer_in_force(now);
             self.tick_groups(now);
@@ -275,17 +275,17 @@
     }
 
     /// Proposes the first statements where no command was ever applied.
-    fn sow(&mut self) {
-        let bare = self.state.revision == 0 && self.applied == self.quorum.last_index();
-        if !bare {
+    fn propose_seed(&mut self) {
+        let unused = self.state.revision == 0 && self.applied == self.replica.last_index();
+        if !unused {
             return;
         }
         if let Some(seed) = self.seed.take() {
             let bytes = wire::Command::from(&seed).encode_to_vec();
-            let taken = self.quorum.propose(bytes);
+            let proposed = self.replica.propose(bytes);
             self.common
                 .events
-                .note("seed", format!("proposed: {taken:?}"));
+                .note("seed", format!("proposed: {proposed:?}"));
         }
     }
 }
@@ -323,6 +323,6 @@
 }
 
 /// Milliseconds of the clock, for tables.
-fn shown(clock: &Clock, at: Duration) -> f64 {
+fn remaining_ms(clock: &Clock, at: Duration) -> f64 {
     ms(at.saturating_sub(clock.now())) as f64
 }
--- a/crates/node/src/control/propose.rs
+++ b/crates/node/src/control/propose.rs
@@ -1,7 +1,7 @@
 //! Operators' commands at the leader: accepted once committed, in force once every
 //! lease holder acts on it.
 
-use super::{Control, shown};
+use super::{Control, remaining_ms};
 use bn_query::{Statement, Table, select};
 use bn_state::{Command, LEADER_OPERATOR};
 use bn_wire::messages::envelope::Body;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// A proposal whose outcome is open.
-struct Wait {
+struct PendingProposal {
     /// Index in the log; then the revision it was accepted at.
     index: u64,
     call: u64,
@@ -22,9 +22,9 @@
 /// Proposals whose senders wait. A leader that steps down drops them: the sender
 /// asks again, and the number and token decide.
 #[derive(Default)]
-pub(crate) struct Waits(Vec<Wait>);
+pub(crate) struct Proposals(Vec<PendingProposal>);
 
-impl Waits {
+impl Proposals {
     pub(crate) fn clear(&mut self) {
         self.0.clear();
     }
@@ -34,7 +34,7 @@
     pub(super) fn on_proposal(&mut self, inbox: SocketAddr, proposal: Proposal) {
         let (call, now) = (proposal.call, self.now());
         let Some(raw) = proposal.command else { return };
-        if !self.quorum.holds_lease(now) {
+        if !self.replica.holds_lease(now) {
             return self.reply(
                 inbox,
                 Outcome {
@@ -55,7 +55,7 @@
                 Err(reason) => (String::new(), reason),
             };
             let accepted = reason.is_empty();
-            let done = Outcome {
+            let outcome = Outcome {
                 call,
                 accepted,
                 in_force: true,
@@ -63,10 +63,10 @@
                 table,
                 ..Outcome::default()
             };
-            return self.reply(inbox, done);
+            return self.reply(inbox, outcome);
         }
         match self.state.prior_outcome(&command) {
-            Some(Ok(index)) => self.waits.0.push(Wait {
+            Some(Ok(index)) => self.proposals.0.push(PendingProposal {
                 index,
                 call,
                 inbox,
@@ -75,8 +75,8 @@
             Some(Err(refusal)) => self.refuse(inbox, call, refusal.to_string()),
             None => {
                 let bytes = wire::Command::from(&command).encode_to_vec();
-                match self.quorum.propose(bytes) {
-                    Ok(index) => self.waits.0.push(Wait {
+                match self.replica.propose(bytes) {
+                    Ok(index) => self.proposals.0.push(PendingProposal {
                         index,
                         call,
                         inbox,
@@ -98,13 +98,13 @@
     }
 
     /// The entry at `index` was applied with this outcome.
-    pub(super) fn answer_wait(&mut self, index: u64, outcome: &bn_state::Result<u64>) {
+    pub(super) fn complete_proposals(&mut self, index: u64, outcome: &bn_state::Result<u64>) {
         metrics::counter!("commands", "accepted" => outcome.is_ok().to_string()).increment(1);
-        let is_it = |w: &Wait| w.index == index && !w.accepted;
+        let matches = |p: &PendingProposal| p.index == index && !p.accepted;
         match outcome {
             Ok(revision) => {
-                for wait in self.waits.0.iter_mut().filter(|w| is_it(w)) {
-                    (wait.accepted, wait.index) = (true, *revision);
+                for proposal in self.proposals.0.iter_mut().filter(|p| matches(p)) {
+                    (proposal.accepted, proposal.index) = (true, *revision);
                 }
                 self.common
                     .events
@@ -112,15 +112,15 @@
                 self.push_revision();
             }
             Err(refusal) => {
-                let told: Vec<_> = self
-                    .waits
+                let rejected: Vec<_> = self
+                    .proposals
                     .0
                     .iter()
-                    .filter(|w| is_it(w))
-                    .map(|w| (w.inbox, w.call))
+                    .filter(|p| matches(p))
+                    .map(|p| (p.inbox, p.call))
                     .collect();
-                self.waits.0.retain(|w| !is_it(w));
-                for (inbox, call) in told {
+                self.proposals.0.retain(|p| !matches(p));
+                for (inbox, call) in rejected {
                     self.refuse(inbox, call, refusal.to_string());
                 }
             }
@@ -129,19 +129,19 @@
 
     /// Answers the proposals that are in force by now.
     pub(super) fn answer_in_force(&mut self, now: Duration) {
-        let (done, open): (Vec<_>, Vec<_>) = std::mem::take(&mut self.waits.0)
+        let (in_force, open): (Vec<_>, Vec<_>) = std::mem::take(&mut self.proposals.0)
             .into_iter()
-            .partition(|w| w.accepted && self.leases.in_force(now, w.index));
-        self.waits.0 = open;
-        for w in done {
+            .partition(|p| p.accepted && self.leases.in_force(now, p.index));
+        self.proposals.0 = open;
+        for p in in_force {
             let outcome = Outcome {
-                call: w.call,
+                call: p.call,
                 accepted: true,
                 in_force: true,
-                revision: w.index,
+                revision: p.index,
                 ..Outcome::default()
             };
-            self.reply(w.inbox, outcome);
+            self.reply(p.inbox, outcome);
         }
     }
 
@@ -180,7 +180,7 @@
         let mut t = Table::new(&["entry", "lease_ms", "revision", "leaving"]);
         t.rows
             .extend(self.leases.rows().map(|(id, until, acked, leaving)| {
-                let left = shown(&self.common.clock, until);
+                let left = remaining_ms(&self.common.clock, until);
                 vec![
                     id.clone().into(),
                     left.into(),
--- a/crates/node/src/entry/admit.rs
+++ b/crates/node/src/entry/admit.rs
@@ -2,23 +2,23 @@
 
 use super::Entry;
 use super::request::{Phase, Request};
-use crate::caller::{Answer, Arrival};
+use crate::caller::{AnswerPart, Arrival};
 use crate::verdict::Refusal;
 use bn_limit::default_share;
 use std::time::Duration;
 
 /// When a caller should try another entry.
-const ELSEWHERE: Duration = Duration::from_millis(200);
+const OTHER_ENTRY_DELAY: Duration = Duration::from_millis(200);
 /// Requests held at most; more are refused at once.
-const MOST_REQUESTS: usize = 8192;
+const MAX_REQUESTS: usize = 8192;
 
 impl Entry {
     /// Admits a request, or refuses it at once.
-    pub(super) fn arrive(&mut self, arrival: Arrival) {
+    pub(super) fn on_arrival(&mut self, arrival: Arrival) {
         metrics::counter!("requests").increment(1);
         match self.admit(&arrival) {
             Err(refusal) => {
-                let _ = arrival.answer.try_send(Answer::Refused(refusal));
+                let _ = arrival.answer.try_send(AnswerPart::Refused(refusal));
             }
             Ok((account, repeatable)) => {
                 let now = self.now();
@@ -35,14 +35,14 @@
                     sent: 0,
                     arrival,
                 };
-                let id = self.number();
+                let id = self.next_id();
                 let claims = request.arrival.idempotency.is_some();
                 self.requests.insert(id, request);
-                self.budget.deposit();
+                self.retry_tokens.deposit();
                 if claims {
                     self.start_claim(id);
                 } else {
-                    self.place(id);
+                    self.dispatch_or_queue(id);
                 }
             }
         }
@@ -53,31 +53,32 @@
         let now = self.now();
         if !self.lease.valid(now) {
             return Err(
-                Refusal::not_run(503, "this entry holds no lease; ask another").retry(ELSEWHERE),
+                Refusal::not_run(503, "this entry holds no lease; ask another")
+                    .retry_after(OTHER_ENTRY_DELAY),
             );
         }
         let account = self.state.account_by_hash(&arrival.key_hash);
         let (name, account) =
             account.ok_or_else(|| Refusal::not_run(401, "no account has this key"))?;
         if arrival.priority > account.max_priority {
-            let most = account.max_priority.name();
+            let max_priority = account.max_priority.name();
             return Err(Refusal::not_run(
                 403,
-                format!("this account's priority ends at {most}"),
+                format!("this account's priority ends at {max_priority}"),
             ));
         }
         let service = self.state.services.get(&arrival.service);
         let unknown = || Refusal::not_run(404, format!("there is no service {}", arrival.service));
         let service = service.ok_or_else(unknown)?;
-        if self.requests.len() >= MOST_REQUESTS {
-            return Err(Refusal::not_run(503, "this entry is full").retry(ELSEWHERE));
+        if self.requests.len() >= MAX_REQUESTS {
+            return Err(Refusal::not_run(503, "this entry is full").retry_after(OTHER_ENTRY_DELAY));
         }
         let repeatable = service.repeatable && arrival.idempotency.is_none();
         let (name, rate) = (name.clone(), account.rate);
-        let first = default_share(rate, self.state.entries.len());
-        self.buckets.admit(now, &name, first).map_err(|wait| {
+        let share = default_share(rate, self.state.entries.len());
+        self.buckets.admit(now, &name, share).map_err(|wait| {
             metrics::counter!("limited", "account" => name.clone()).increment(1);
-            Refusal::not_run(429, "this account's rate is used up").retry(wait)
+            Refusal::not_run(429, "this account's rate is used up").retry_after(wait)
         })?;
         Ok((name, repeatable))
     }
@@ -89,19 +90,19 @@
         };
         if request.head_sent {
             metrics::counter!("answers_cut").increment(1);
-            request.tell(Answer::Cut(refusal.reason));
+            request.send(AnswerPart::Cut(refusal.reason));
         } else {
-            request.tell(Answer::Refused(refusal));
+            request.send(AnswerPart::Refused(refusal));
         }
     }
 
     /// Watches deadlines and callers that left.
-    pub(super) fn watch_requests(&mut self, now: Duration) {
-        let over = |r: &Request| now >= r.deadline || r.abandoned();
+    pub(super) fn expire_requests(&mut self, now: Duration) {
+        let expired = |r: &Request| now >= r.deadline || r.abandoned();
         let ids: Vec<_> = self
             .requests
             .iter()
-            .filter(|(_, r)| over(r))
+            .filter(|(_, r)| expired(r))
             .map(|(i, _)| *i)
             .collect();
         for id in ids {
@@ -128,7 +129,7 @@
             .state
             .entries
             .iter()
-            .filter(|(id, e)| !e.drained && !self.lease.away.contains(*id))
+            .filter(|(id, e)| !e.drained && !self.lease.unavailable.contains(*id))
             .filter(|(id, _)| self.stopping.is_none() || **id != self.common.id)
             .map(|(_, e)| (e.domain != own, e.callers.to_string()))
             .collect();
--- a/crates/node/src/entry/agents.rs
+++ b/crates/node/src/entry/agents.rs
@@ -1,6 +1,6 @@
 //! Agents attached to this entry.
 
-use super::{Entry, Sender};
+use super::{Entry, Peer};
 use crate::clock::ms;
 use crate::verdict::Verdict;
 use bn_claim::rendezvous;
@@ -11,13 +11,13 @@
 use std::time::Duration;
 
 /// An agent that is silent for this long is taken for dead.
-const SILENCE: Duration = Duration::from_secs(3);
+const AGENT_TIMEOUT: Duration = Duration::from_secs(3);
 /// Up to so many entries, agents report to all of them.
-const FEW_ENTRIES: usize = 8;
+const ATTACH_ALL_LIMIT: usize = 8;
 /// Past that, to so many.
-const ATTACH_TO: usize = 4;
+const ATTACH_COUNT: usize = 4;
 /// A backend server that is gone for this long is forgotten.
-const FORGET: Duration = Duration::from_secs(60);
+const EVICT_AFTER: Duration = Duration::from_secs(60);
 
 /// One agent as this entry knows it.
 pub(crate) struct Agent {
@@ -27,34 +27,34 @@
     pub(crate) inbox: SocketAddr,
     pub(crate) incarnation: u64,
     /// The agent's clock in its latest message, and when that came here.
-    clock_seen: (Duration, Duration),
-    pub(crate) heard: Duration,
+    clock_sample: (Duration, Duration),
+    pub(crate) last_contact: Duration,
     /// Its silence was acted on.
-    lost: bool,
+    timed_out: bool,
 }
 
 impl Agent {
     /// The agent's clock now, or somewhat earlier: the time the message took is
     /// missing. So a start deadline in it is early rather than late.
     pub(crate) fn clock(&self, now: Duration) -> Duration {
-        let (theirs, here) = self.clock_seen;
+        let (theirs, here) = self.clock_sample;
         theirs + now.saturating_sub(here)
     }
 }
 
 impl Entry {
-    pub(super) fn on_attach(&mut self, from: &Sender, attach: Attach) {
+    pub(super) fn on_attach(&mut self, from: &Peer, attach: Attach) {
         let now = self.now();
         let name = match &attach.profile {
             Some(profile) => profile.name.clone(),
             None => match self.known_profile(from) {
                 Some(name) => name,
-                None => return self.ask_profile(from, &attach),
+                None => return self.request_profile(from, &attach),
             },
         };
         let before = self.agents.get(&name);
         let restarted = before.is_some_and(|a| a.incarnation != from.incarnation);
-        let new = before.is_none_or(|a| a.lost);
+        let new = before.is_none_or(|a| a.timed_out);
         if restarted {
             self.common
                 .events
@@ -76,15 +76,15 @@
             inbox: from.inbox,
             incarnation: from.incarnation,
             profile,
-            clock_seen: (Duration::from_millis(attach.agent_ms), now),
-            heard: now,
-            lost: false,
+            clock_sample: (Duration::from_millis(attach.agent_ms), now),
+            last_contact: now,
+            timed_out: false,
         };
         self.agents.insert(name, agent);
     }
 
     /// The backend server of an agent that told its profile earlier in this start.
-    fn known_profile(&self, from: &Sender) -> Option<String> {
+    fn known_profile(&self, from: &Peer) -> Option<String> {
         let same = |a: &Agent| a.process == from.id && a.incarnation == from.incarnation;
         self.agents
             .iter()
@@ -92,7 +92,7 @@
             .map(|(name, _)| name.clone())
     }
 
-    fn ask_profile(&self, from: &Sender, attach: &Attach) {
+    fn request_profile(&self, from: &Peer, attach: &Attach) {
         let (agent_ms, unknown) = (attach.agent_ms, true);
         let lease = AgentLease {
             agent_ms,
@@ -128,55 +128,55 @@
     /// few, so that every entry sees every backend server; past that a few in different
     /// failure domains. Kept until the entries change: choosing hashes each of them.
     fn entries_for(&mut self, name: &str) -> (Vec<String>, u32) {
-        if let Some(kept) = self.attach_lists.get(name) {
-            return kept.clone();
+        if let Some(cached) = self.attach_lists.get(name) {
+            return cached.clone();
         }
         let all = &self.state.entries;
         let pairs = all.iter().map(|(id, e)| (id.as_str(), e.domain.as_str()));
-        let chosen: Vec<&str> = match all.len() <= FEW_ENTRIES {
+        let chosen: Vec<&str> = match all.len() <= ATTACH_ALL_LIMIT {
             true => all.keys().map(String::as_str).collect(),
-            false => rendezvous(name, ATTACH_TO, pairs),
+            false => rendezvous(name, ATTACH_COUNT, pairs),
         };
         let inbox = |id: &str| all.get(id).map(|e| e.inbox.to_string());
         let list: Vec<String> = chosen.into_iter().filter_map(inbox).collect();
-        let kept = (list.clone(), digest_of(&list));
-        self.attach_lists.insert(name.into(), kept.clone());
-        kept
+        let cached = (list.clone(), digest_of(&list));
+        self.attach_lists.insert(name.into(), cached.clone());
+        cached
     }
 
     /// Notices agents that fell silent, and forgets those gone for long.
-    pub(super) fn watch_agents(&mut self, now: Duration) {
-        let silent = |a: &Agent| !a.lost && now > a.heard + SILENCE;
-        let lost: Vec<_> = self
+    pub(super) fn expire_agents(&mut self, now: Duration) {
+        let silent = |a: &Agent| !a.timed_out && now > a.last_contact + AGENT_TIMEOUT;
+        let timed_out: Vec<_> = self
             .agents
             .iter()
             .filter(|(_, a)| silent(a))
             .map(|(n, _)| n.clone())
             .collect();
-        for name in lost {
+        for name in timed_out {
             self.common
                 .events
                 .note("agent", format!("{name} is silent"));
             self.fail_agent(&name, "the agent fell silent");
             if let Some(agent) = self.agents.get_mut(&name) {
-                agent.lost = true;
+                agent.timed_out = true;
                 // What waits on the link would arrive minutes late.
                 self.common.net.forget(agent.inbox);
             }
         }
-        for name in self.router.remove_silent(now, FORGET) {
+        for name in self.router.remove_silent(now, EVICT_AFTER) {
             self.agents.shift_remove(&name);
         }
     }
 
     fn fail_agent(&mut self, name: &str, reason: &str) {
-        let open: Vec<_> = self
+        let pending: Vec<_> = self
             .attempts
             .iter()
             .filter(|(_, a)| a.backend == name)
             .map(|(n, _)| *n)
             .collect();
-        for attempt in open {
+        for attempt in pending {
             self.fail_attempt(attempt, Verdict::MayHaveRun, reason);
         }
     }
--- a/crates/node/src/entry/answers.rs
+++ b/crates/node/src/entry/answers.rs
@@ -1,14 +1,14 @@
 //! Answers on their way back. Attempt numbers and agent incarnations must match, so
 //! that a late answer never reaches another request.
 
-use super::{Entry, Sender};
-use crate::caller::Answer;
+use super::{Entry, Peer};
+use crate::caller::AnswerPart;
 use crate::verdict::Verdict;
 use bn_wire::messages::finish::Kind;
 use bn_wire::messages::{Finish, Piece};
 
 impl Entry {
-    pub(super) fn on_started(&mut self, from: &Sender, attempt: u64) {
+    pub(super) fn on_started(&mut self, from: &Peer, attempt: u64) {
         if let Some(a) = self.attempts.get_mut(&attempt)
             && a.incarnation == from.incarnation
         {
@@ -16,7 +16,7 @@
         }
     }
 
-    pub(super) fn on_piece(&mut self, from: &Sender, piece: Piece) {
+    pub(super) fn on_piece(&mut self, from: &Peer, piece: Piece) {
         let Some(a) = self.attempts.get_mut(&piece.attempt) else {
             metrics::counter!("late_pieces").increment(1);
             return;
@@ -38,7 +38,7 @@
             let reason = "the answer went on with another status";
             return self.fail_attempt(piece.attempt, Verdict::MayHaveRun, reason);
         }
-        let mut told = true;
+        let mut delivered = true;
         if !request.head_sent {
             request.head_sent = true;
             request.status = piece.status;
@@ -47,16 +47,16 @@
                 .into_iter()
                 .map(|h| (h.name, h.value))
                 .collect();
-            told = request.tell(Answer::Head(piece.status as u16, pairs));
+            delivered = request.send(AnswerPart::Head(piece.status as u16, pairs));
             let waited = self.common.clock.now().saturating_sub(request.arrived);
             metrics::histogram!("first_piece_seconds").record(waited);
         }
-        let known = (request.sent - piece.offset) as usize;
-        if let Some(fresh) = piece.data.get(known..).filter(|f| !f.is_empty()) {
-            request.sent += fresh.len() as u64;
-            told = told && request.tell(Answer::Data(fresh.to_vec()));
+        let already_sent = (request.sent - piece.offset) as usize;
+        if let Some(new_bytes) = piece.data.get(already_sent..).filter(|f| !f.is_empty()) {
+            request.sent += new_bytes.len() as u64;
+            delivered = delivered && request.send(AnswerPart::Data(new_bytes.to_vec()));
         }
-        if !told {
+        if !delivered {
             metrics::counter!("callers_gone").increment(1);
             let id = a.request;
             self.cancel_attempts(id);
@@ -66,7 +66,7 @@
         }
     }
 
-    pub(super) fn on_finish(&mut self, from: &Sender, finish: &Finish) {
+    pub(super) fn on_finish(&mut self, from: &Peer, finish: &Finish) {
         let Some(a) = self.attempts.get(&finish.attempt) else {
             return;
         };
@@ -77,18 +77,18 @@
         self.router.update_running(now, &a.backend, finish.running);
         let sent = self.requests.get(&a.request).map_or(0, |r| r.sent);
         match finish.kind() {
-            Kind::Whole if finish.length == sent => self.end_whole(finish.attempt),
+            Kind::Whole if finish.length == sent => self.complete(finish.attempt),
             Kind::Whole => {
                 let reason = "the end of the answer came before all of it";
                 self.fail_attempt(finish.attempt, Verdict::MayHaveRun, reason);
             }
-            Kind::NotRun if finish.full => self.back_in_line(finish.attempt),
-            Kind::NotRun => self.turned_away(finish.attempt, &finish.reason),
+            Kind::NotRun if finish.full => self.requeue(finish.attempt),
+            Kind::NotRun => self.on_rejected(finish.attempt, &finish.reason),
             _ => self.fail_attempt(finish.attempt, Verdict::MayHaveRun, &finish.reason),
         }
     }
 
-    fn end_whole(&mut self, attempt: u64) {
+    fn complete(&mut self, attempt: u64) {
         let now = self.now();
         let Some(a) = self.attempts.remove(&attempt) else {
             return;
@@ -96,13 +96,13 @@
         self.router.record_end(now, &a.backend, attempt, Some(true));
         if let Some(request) = self.requests.remove(&a.request) {
             metrics::counter!("answers_whole", "account" => request.account.clone()).increment(1);
-            request.tell(Answer::End);
+            request.send(AnswerPart::End);
         }
     }
 
     /// Other entries filled the backend server since its last report. The request waits
     /// for room again; it costs no retry, or a busy hour would use up the budget.
-    fn back_in_line(&mut self, attempt: u64) {
+    fn requeue(&mut self, attempt: u64) {
         let now = self.now();
         let Some(a) = self.attempts.remove(&attempt) else {
             return;
@@ -111,18 +111,18 @@
         metrics::counter!("found_full").increment(1);
         if let Some(request) = self.requests.get_mut(&a.request) {
             request.tried.retain(|b| *b != a.backend);
-            self.place(a.request);
+            self.dispatch_or_queue(a.request);
         }
     }
 
     /// The agent says that it did not run it: no fault of the backend server's.
-    fn turned_away(&mut self, attempt: u64, reason: &str) {
+    fn on_rejected(&mut self, attempt: u64, reason: &str) {
         let now = self.now();
         let Some(a) = self.attempts.remove(&attempt) else {
             return;
         };
         self.router.record_end(now, &a.backend, attempt, None);
         metrics::counter!("turned_away").increment(1);
-        self.next_try(a.request, Verdict::NotRun, reason);
+        self.retry_or_fail(a.request, Verdict::NotRun, reason);
     }
 }
--- a/crates/node/src/entry/claims.rs
+++ b/crates/node/src/entry/claims.rs
@@ -1,8 +1,8 @@
 //! Claims of idempotency keys: this entry's own, and those it holds for others.
 
 use super::request::Phase;
-use super::{Entry, Sender};
-use crate::clock::wall;
+use super::{Entry, Peer};
+use crate::clock::unix_time;
 use crate::verdict::Refusal;
 use bn_claim::{Answer, HOLDERS, Outcome, PendingClaim, mint_time, rendezvous};
 use bn_wire::messages::claim_answer::Kind;
@@ -11,9 +11,9 @@
 use std::time::Duration;
 
 /// A claim is asked again after this time.
-const AGAIN: Duration = Duration::from_millis(100);
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// After this time a claim without a majority is given up.
-const GIVE_UP: Duration = Duration::from_millis(1500);
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(1500);
 
 impl Entry {
     pub(super) fn start_claim(&mut self, id: u64) {
@@ -31,10 +31,10 @@
             .map(String::from)
             .collect();
         if let Some(request) = self.requests.get_mut(&id) {
-            request.phase = Phase::Claiming(PendingClaim::new(holders), now + AGAIN);
+            request.phase = Phase::Claiming(PendingClaim::new(holders), now + RETRY_INTERVAL);
         }
         self.claims.insert(id, id);
-        self.ask_holders(id);
+        self.query_holders(id);
     }
 
     /// The key with its account, so that accounts cannot collide.
@@ -44,41 +44,44 @@
         Some(format!("{}/{key}", request.account))
     }
 
-    fn ask_holders(&self, id: u64) {
+    fn query_holders(&self, id: u64) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let Phase::Claiming(chain, _) = &request.phase else {
+        let Phase::Claiming(claim, _) = &request.phase else {
             return;
         };
-        let ask = ClaimAsk {
+        let message = ClaimAsk {
             call: id,
             key: request.arrival.idempotency.clone().unwrap_or_default(),
             account: request.account.clone(),
             chain: id,
             epoch: self.state.claim_epoch,
         };
-        for holder in chain.unanswered() {
+        for holder in claim.unanswered() {
             if let Some(entry) = self.state.entries.get(holder) {
                 self.common
                     .net
-                    .send(entry.inbox, Body::ClaimAsk(ask.clone()));
+                    .send(entry.inbox, Body::ClaimAsk(message.clone()));
             }
         }
     }
 
-    pub(super) fn on_claim_ask(&mut self, from: &Sender, ask: &ClaimAsk) {
+    pub(super) fn on_claim_request(&mut self, from: &Peer, request: &ClaimAsk) {
         let now = self.now();
         // Without a lease the set of holders may have changed unseen.
         if !self.lease.valid(now) {
             return;
         }
-        let Some(minted) = mint_time(&ask.key) else {
+        let Some(minted_at) = mint_time(&request.key) else {
             return;
         };
-        let key = format!("{}/{}", ask.account, ask.key);
-        let chain = (from.incarnation, ask.chain);
-        let kind = match self.holder.claim(wall(), &key, minted, chain, ask.epoch) {
+        let key = format!("{}/{}", request.account, request.key);
+        let chain = (from.incarnation, request.chain);
+        let kind = match self
+            .holder
+            .claim(unix_time(), &key, minted_at, chain, request.epoch)
+        {
             Answer::Granted => Kind::Granted,
             Answer::Taken => Kind::Taken,
             Answer::Forgot => Kind::Forgot,
@@ -86,15 +89,15 @@
         };
         metrics::gauge!("claims_held").set(self.holder.len() as f64);
         let answer = ClaimAnswer {
-            call: ask.call,
+            call: request.call,
             kind: kind.into(),
         };
         self.common.net.send(from.inbox, Body::ClaimAnswer(answer));
     }
 
-    pub(super) fn on_claim_answer(&mut self, from: &Sender, answer: &ClaimAnswer) {
+    pub(super) fn on_claim_answer(&mut self, from: &Peer, answer: &ClaimAnswer) {
         let id = answer.call;
-        let Some(Phase::Claiming(chain, _)) = self.requests.get_mut(&id).map(|r| &mut r.phase)
+        let Some(Phase::Claiming(claim, _)) = self.requests.get_mut(&id).map(|r| &mut r.phase)
         else {
             return;
         };
@@ -104,18 +107,18 @@
             Kind::Stale => Answer::Stale,
             Kind::Forgot | Kind::Unspecified => Answer::Forgot,
         };
-        match chain.record(&from.id, kind) {
+        match claim.record(&from.id, kind) {
             Outcome::Undecided => {}
             Outcome::Won => {
                 self.claims.remove(&id);
-                self.place(id);
+                self.dispatch_or_queue(id);
             }
-            Outcome::Lost => self.claim_lost(id, 409, "the key is claimed, or cannot be checked"),
+            Outcome::Lost => self.reject_claim(id, 409, "the key is claimed, or cannot be checked"),
         }
     }
 
     /// The request of this key may have run, through another chain of attempts.
-    fn claim_lost(&mut self, id: u64, status: u16, reason: &str) {
+    fn reject_claim(&mut self, id: u64, status: u16, reason: &str) {
         self.claims.remove(&id);
         metrics::counter!("claims_lost").increment(1);
         self.refuse(id, Refusal::may_have_run(status, reason));
@@ -130,17 +133,17 @@
                 self.claims.remove(&id);
                 continue;
             };
-            let give_up = now > request.arrived + GIVE_UP;
+            let timed_out = now > request.arrived + CLAIM_TIMEOUT;
             let Phase::Claiming(_, due) = &mut request.phase else {
                 continue;
             };
-            let again = now >= *due;
-            if again {
-                *due = now + AGAIN;
+            let retry = now >= *due;
+            if retry {
+                *due = now + RETRY_INTERVAL;
             }
-            match (give_up, again) {
-                (true, _) => self.claim_lost(id, 503, "too few holders of claims answered"),
-                (false, true) => self.ask_holders(id),
+            match (timed_out, retry) {
+                (true, _) => self.reject_claim(id, 503, "too few holders of claims answered"),
+                (false, true) => self.query_holders(id),
                 _ => {}
             }
         }
--- a/crates/node/src/entry/dispatch.rs
+++ b/crates/node/src/entry/dispatch.rs
@@ -13,27 +13,32 @@
 use std::time::Duration;
 
 /// An agent must start a request within this time, by its own clock.
-const START_WITHIN: Duration = Duration::from_millis(500);
+const START_TIMEOUT: Duration = Duration::from_millis(500);
 /// After the last possible start, an answer may still take this long on its way.
-const GRACE: Duration = Duration::from_millis(1000);
+const START_REPORT_GRACE: Duration = Duration::from_millis(1000);
 /// Requests that may wait for room.
-const MOST_QUEUED: usize = 2048;
+const MAX_QUEUED: usize = 2048;
 /// When to come back after a refusal for want of room.
-const COME_BACK: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 impl Entry {
     /// Tries to dispatch a request; queues it where no backend server has room.
-    pub(super) fn place(&mut self, id: u64) {
-        let Some(ask) = self.ask_of(id) else { return };
-        let waits = self.queues.get(&ask.service).is_some_and(|q| !q.is_empty());
-        let urgent = ask.urgent;
+    pub(super) fn dispatch_or_queue(&mut self, id: u64) {
+        let Some(needs) = self.requirements(id) else {
+            return;
+        };
+        let waits = self
+            .queues
+            .get(&needs.service)
+            .is_some_and(|q| !q.is_empty());
+        let urgent = needs.urgent;
         // Others wait already: going past them would be unfair, unless it is urgent.
-        if (waits && !urgent) || !self.try_place(id, &ask) {
-            self.wait_for_room(id, &ask);
+        if (waits && !urgent) || !self.try_dispatch(id, &needs) {
+            self.enqueue(id, &needs);
         }
     }
 
-    fn ask_of(&self, id: u64) -> Option<Requirements> {
+    fn requirements(&self, id: u64) -> Option<Requirements> {
         let request = self.requests.get(&id)?;
         Some(Requirements {
             service: request.arrival.service.clone(),
@@ -44,16 +49,16 @@
         })
     }
 
-    fn try_place(&mut self, id: u64, ask: &Requirements) -> bool {
+    fn try_dispatch(&mut self, id: u64, needs: &Requirements) -> bool {
         let now = self.now();
         let mut rng = self.rng.clone();
         let picked = self
             .router
-            .pick(now, ask, |below| rng.random_range(0..below.max(1)));
+            .pick(now, needs, |below| rng.random_range(0..below.max(1)));
         self.rng = rng;
         match picked {
             Some(backend) => {
-                if let Some(queue) = self.queues.get_mut(&ask.service) {
+                if let Some(queue) = self.queues.get_mut(&needs.service) {
                     queue.record_start(now);
                 }
                 self.dispatch(id, &backend);
@@ -63,10 +68,10 @@
         }
     }
 
-    fn wait_for_room(&mut self, id: u64, ask: &Requirements) {
+    fn enqueue(&mut self, id: u64, needs: &Requirements) {
         let now = self.now();
-        let serving = self.router.in_service(now, &ask.service);
-        if serving.filter(|(b, _)| !ask.tried.contains(*b)).count() == 0 {
+        let serving = self.router.in_service(now, &needs.service);
+        if serving.filter(|(b, _)| !needs.tried.contains(*b)).count() == 0 {
             return self.give_up(id, 503, "no backend server can take it");
         }
         let Some(request) = self.requests.get_mut(&id) else {
@@ -85,33 +90,33 @@
             deadline: request.deadline,
         };
         request.phase = Phase::Queued;
-        let queue = self.queues.entry(ask.service.clone()).or_default();
-        if let Err(wait) = queue.push(now, waiting, MOST_QUEUED) {
+        let queue = self.queues.entry(needs.service.clone()).or_default();
+        if let Err(wait) = queue.push(now, waiting, MAX_QUEUED) {
             metrics::counter!("refused_early").increment(1);
             let reason = "it could not start before its deadline, or the queue is full";
-            self.give_up_until(id, 503, reason, wait.max(COME_BACK));
+            self.give_up_with_retry(id, 503, reason, wait.max(RETRY_DELAY));
         }
     }
 
-    fn give_up_until(&mut self, id: u64, status: u16, reason: &str, retry: Duration) {
-        let ran = self.requests.get(&id).is_some_and(|r| r.may_have_run);
-        let refusal = match ran {
+    fn give_up_with_retry(&mut self, id: u64, status: u16, reason: &str, retry: Duration) {
+        let may_have_run = self.requests.get(&id).is_some_and(|r| r.may_have_run);
+        let refusal = match may_have_run {
             true => Refusal::may_have_run(status, reason),
-            false => Refusal::not_run(status, reason).retry(retry),
+            false => Refusal::not_run(status, reason).retry_after(retry),
         };
         self.refuse(id, refusal);
     }
 
     /// The final answer to a request that will not be tried (again).
     pub(super) fn give_up(&mut self, id: u64, status: u16, reason: &str) {
-        self.give_up_until(id, status, reason, COME_BACK);
+        self.give_up_with_retry(id, status, reason, RETRY_DELAY);
     }
 
     /// Starts waiting requests while there is room: urgent first, then by fair share.
-    pub(super) fn serve_queue(&mut self, now: Duration) {
+    pub(super) fn serve_queues(&mut self, now: Duration) {
         let services: Vec<String> = self.queues.keys().cloned().collect();
         for service in services {
-            self.drop_ended(&service);
+            self.drop_not_queued(&service);
             while let Some(id) = self.start_next(&service) {
                 if let Some(queue) = self.queues.get_mut(&service) {
                     queue.start(now, id);
@@ -123,7 +128,7 @@
     /// Takes out requests that do not wait here any more: their deadline passed, the
     /// caller left, or they run already. One that stayed in line while it runs would be
     /// dispatched a second time.
-    fn drop_ended(&mut self, service: &str) {
+    fn drop_not_queued(&mut self, service: &str) {
         let requests = &self.requests;
         if let Some(queue) = self.queues.get_mut(service) {
             let waits = |id: &u64| {
@@ -139,14 +144,14 @@
         let order = self.queues.get(service)?.start_order();
         // What the first in line has tried already may still have room for others.
         order.into_iter().find(|id| {
-            self.ask_of(*id)
-                .is_some_and(|ask| self.try_place(*id, &ask))
+            self.requirements(*id)
+                .is_some_and(|needs| self.try_dispatch(*id, &needs))
         })
     }
 
     fn dispatch(&mut self, id: u64, backend: &str) {
         let now = self.now();
-        let attempt = self.number();
+        let attempt = self.next_id();
         let (Some(agent), Some(request)) = (self.agents.get(backend), self.requests.get_mut(&id))
         else {
             return;
@@ -160,7 +165,7 @@
         };
         let message = Dispatch {
             attempt,
-            not_after_ms: ms(agent.clock(now) + START_WITHIN),
+            not_after_ms: ms(agent.clock(now) + START_TIMEOUT),
             time_left_ms: ms(request.deadline.saturating_sub(now)),
             method: arrival.method.clone(),
             path: arrival.path.clone(),
@@ -171,28 +176,28 @@
             key: arrival.idempotency.clone().unwrap_or_default(),
             agent: agent.incarnation,
         };
-        let entry = Attempt {
+        let record = Attempt {
             request: id,
             backend: backend.into(),
             incarnation: agent.incarnation,
-            start_by: now + START_WITHIN,
+            start_by: now + START_TIMEOUT,
             started: false,
         };
         let prefix = arrival.prefix;
         if self.common.net.send(agent.inbox, Body::Dispatch(message)) {
-            self.attempts.insert(attempt, entry);
+            self.attempts.insert(attempt, record);
             self.router.record_sent(now, backend, attempt, prefix);
         } else {
             // Nothing was queued, so nothing can arrive: the same claim may try on.
             self.router.record_sent(now, backend, attempt, None);
             self.router.record_end(now, backend, attempt, Some(false));
-            self.next_try(id, Verdict::NotRun, "the agent's link takes nothing");
+            self.retry_or_fail(id, Verdict::NotRun, "the agent's link takes nothing");
         }
     }
 
     /// After an attempt failed: another one where the verdict allows it and the
     /// retry budget has one left; otherwise the final answer.
-    pub(super) fn next_try(&mut self, id: u64, verdict: Verdict, reason: &str) {
+    pub(super) fn retry_or_fail(&mut self, id: u64, verdict: Verdict, reason: &str) {
         let now = self.now();
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -202,25 +207,25 @@
         }
         let allowed = verdict == Verdict::NotRun || request.repeatable;
         let resumable = !request.head_sent || request.repeatable;
-        let last = now >= request.deadline || request.abandoned();
-        if !allowed || !resumable || last || !self.budget.try_withdraw(now) {
+        let expired = now >= request.deadline || request.abandoned();
+        if !allowed || !resumable || expired || !self.retry_tokens.try_withdraw(now) {
             return self.give_up(id, 502, reason);
         }
         metrics::counter!("retries").increment(1);
-        self.place(id);
+        self.dispatch_or_queue(id);
     }
 
     /// Tells the agents that nobody waits for this request any more.
     pub(super) fn cancel_attempts(&mut self, id: u64) {
         let now = self.now();
-        let mine = |a: &Attempt| a.request == id;
-        let open: Vec<_> = self
+        let belongs = |a: &Attempt| a.request == id;
+        let pending: Vec<_> = self
             .attempts
             .iter()
-            .filter(|(_, a)| mine(a))
+            .filter(|(_, a)| belongs(a))
             .map(|(n, _)| *n)
             .collect();
-        for attempt in open {
+        for attempt in pending {
             let Some(a) = self.attempts.remove(&attempt) else {
                 continue;
             };
@@ -235,8 +240,8 @@
 
     /// Fails attempts that got no sign of a start in time. Whether the backend
     /// server was asked is not known then.
-    pub(super) fn watch_attempts(&mut self, now: Duration) {
-        let late = |a: &Attempt| !a.started && now > a.start_by + GRACE;
+    pub(super) fn expire_attempts(&mut self, now: Duration) {
+        let late = |a: &Attempt| !a.started && now > a.start_by + START_REPORT_GRACE;
         let ids: Vec<_> = self
             .attempts
             .iter()
@@ -267,6 +272,6 @@
                 .net
                 .send(agent.inbox, Body::Cancel(Cancel { attempt }));
         }
-        self.next_try(a.request, verdict, reason);
+        self.retry_or_fail(a.request, verdict, reason);
     }
 }
--- a/crates/node/src/entry/lease.rs
+++ b/crates/node/src/entry/lease.rs
@@ -1,7 +1,7 @@
 //! This entry's lease of the settled configuration.
 
 use super::Entry;
-use crate::clock::{ms, wall};
+use crate::clock::{ms, unix_time};
 use bn_limit::RateGrant;
 use bn_state::{Command, State};
 use bn_wire::messages::envelope::Body;
@@ -12,28 +12,28 @@
 use std::time::Duration;
 
 /// Between two askings while the leader answers.
-const RENEW: Duration = Duration::from_secs(1);
+const RENEW_EVERY: Duration = Duration::from_secs(1);
 /// Between two askings while it does not.
-const SEEK: Duration = Duration::from_millis(200);
+const SEARCH_EVERY: Duration = Duration::from_millis(200);
 
 /// What an entry knows of its lease.
 pub(crate) struct Lease {
     control: Vec<SocketAddr>,
     leader: Option<SocketAddr>,
     /// Which control process to ask while no leader is known.
-    turn: usize,
+    next_control: usize,
     until: Duration,
-    due: Duration,
+    renew_at: Duration,
     /// The last grant came then.
-    granted: Duration,
+    granted_at: Duration,
     /// The leader's fencing number.
     pub(crate) fence: u64,
     /// Entries that callers should not be sent to.
-    pub(crate) away: Vec<String>,
-    held: bool,
-    demand_due: Duration,
+    pub(crate) unavailable: Vec<String>,
+    was_valid: bool,
+    demand_at: Duration,
     /// `sent_ms` of the latest grant acted on.
-    acted_ms: u64,
+    applied_ms: u64,
 }
 
 impl Lease {
@@ -41,15 +41,15 @@
         Lease {
             control,
             leader: None,
-            turn: 0,
+            next_control: 0,
             until: Duration::ZERO,
-            due: Duration::ZERO,
-            granted: Duration::ZERO,
+            renew_at: Duration::ZERO,
+            granted_at: Duration::ZERO,
             fence: 0,
-            away: Vec::new(),
-            held: false,
-            demand_due: Duration::ZERO,
-            acted_ms: 0,
+            unavailable: Vec::new(),
+            was_valid: false,
+            demand_at: Duration::ZERO,
+            applied_ms: 0,
         }
     }
 
@@ -64,8 +64,8 @@
 
     /// The leader, or the next control process to try.
     pub(crate) fn target(&self) -> Option<SocketAddr> {
-        let turn = self.turn % self.control.len().max(1);
-        self.leader.or_else(|| self.control.get(turn).copied())
+        let next = self.next_control % self.control.len().max(1);
+        self.leader.or_else(|| self.control.get(next).copied())
     }
 
     /// The leader's inbox, empty where none is known.
@@ -73,25 +73,25 @@
         self.leader.map(|a| a.to_string()).unwrap_or_default()
     }
 
-    fn lost_leader(&mut self) {
+    fn clear_leader(&mut self) {
         self.leader = None;
-        self.turn += 1;
+        self.next_control += 1;
     }
 }
 
 impl Entry {
     pub(super) fn renew_lease(&mut self, now: Duration) {
-        if now >= self.lease.due {
-            let answered = now < self.lease.granted + RENEW + SEEK;
+        if now >= self.lease.renew_at {
+            let answered = now < self.lease.granted_at + RENEW_EVERY + SEARCH_EVERY;
             if !answered {
-                self.lease.lost_leader();
+                self.lease.clear_leader();
             }
-            self.ask_lease(now);
-            self.lease.due = now + if answered { RENEW } else { SEEK };
+            self.request_lease(now);
+            self.lease.renew_at = now + if answered { RENEW_EVERY } else { SEARCH_EVERY };
         }
         let valid = self.lease.valid(now);
-        if valid != self.lease.held {
-            self.lease.held = valid;
+        if valid != self.lease.was_valid {
+            self.lease.was_valid = valid;
             let what = if valid { "held" } else { "lapsed: no new work" };
             self.common.events.note(
                 "lease",
@@ -100,25 +100,25 @@
         }
     }
 
-    pub(super) fn ask_lease(&mut self, now: Duration) {
-        let ask = LeaseAsk {
+    pub(super) fn request_lease(&mut self, now: Duration) {
+        let request = LeaseAsk {
             sent_ms: ms(now).max(1),
             revision: self.state.revision,
             leaving: self.stopping.is_some(),
             demand: self.demand(now),
-            acted_ms: self.lease.acted_ms,
+            acted_ms: self.lease.applied_ms,
         };
         if let Some(target) = self.lease.target() {
-            self.common.net.send(target, Body::LeaseAsk(ask));
+            self.common.net.send(target, Body::LeaseAsk(request));
         }
     }
 
     /// Demand goes out with the renewals only: a look too soon would say little.
     fn demand(&mut self, now: Duration) -> Vec<AccountRate> {
-        if now < self.lease.demand_due {
+        if now < self.lease.demand_at {
             return Vec::new();
         }
-        self.lease.demand_due = now + RENEW.mul_f64(0.9);
+        self.lease.demand_at = now + RENEW_EVERY.mul_f64(0.9);
         let rate = |(account, rate): (String, f64)| AccountRate {
             account,
             rate: rate as f32,
@@ -135,9 +135,9 @@
         if !grant.refusal.is_empty() {
             self.lease.leader = grant.leader.parse().ok();
             if self.lease.leader.is_none() {
-                self.lease.turn += 1;
+                self.lease.next_control += 1;
             }
-            self.lease.due = self.lease.due.min(now + SEEK);
+            self.lease.renew_at = self.lease.renew_at.min(now + SEARCH_EVERY);
             return;
         }
         // An old leader's grant must not pull the configuration back.
@@ -145,16 +145,16 @@
             return;
         }
         let before = self.state.revision;
-        if !self.take_configuration(grant.snapshot, grant.entries, grant.revision) {
+        if !self.apply_configuration(grant.snapshot, grant.entries, grant.revision) {
             return;
         }
         self.lease.fence = grant.fence;
         if grant.sent_ms > 0 {
             let until = Duration::from_millis(grant.sent_ms + grant.lease_ms);
             self.lease.until = self.lease.until.max(until);
-            self.lease.granted = now;
-            self.lease.away = grant.away;
-            self.lease.acted_ms = self.lease.acted_ms.max(grant.sent_ms);
+            self.lease.granted_at = now;
+            self.lease.unavailable = grant.away;
+            self.lease.applied_ms = self.lease.applied_ms.max(grant.sent_ms);
             for part in grant.parts {
                 let rate = f64::from(part.rate);
                 self.buckets.grant(&part.account, RateGrant { rate, until });
@@ -164,14 +164,14 @@
             }
         }
         if self.state.revision != before {
-            self.configuration_changed();
+            self.on_configuration_change();
             // The leader counts a change as in force once every holder said so.
-            self.ask_lease(now);
+            self.request_lease(now);
         }
     }
 
     /// Brings the configuration to `revision`; `false` where something is missing.
-    fn take_configuration(
+    fn apply_configuration(
         &mut self,
         snapshot: Option<wire::State>,
         entries: Vec<LogEntry>,
@@ -197,10 +197,10 @@
         self.state.revision >= revision
     }
 
-    fn configuration_changed(&mut self) {
+    fn on_configuration_change(&mut self) {
         self.router.drained = self.state.drained.clone();
         self.attach_lists.clear();
-        self.holder.new_epoch(wall(), self.state.claim_epoch);
+        self.holder.new_epoch(unix_time(), self.state.claim_epoch);
         metrics::gauge!("revision").set(self.state.revision as f64);
     }
 }
--- a/crates/node/src/entry/mod.rs
+++ b/crates/node/src/entry/mod.rs
@@ -34,7 +34,7 @@
 
 const TICK: Duration = Duration::from_millis(10);
 /// Events taken between two looks at the clock.
-const GROUP: usize = 256;
+const MAX_BATCH: usize = 256;
 
 /// What the entry thread is told.
 pub(crate) enum Event {
@@ -62,7 +62,7 @@
     state: State,
     lease: lease::Lease,
     router: Router,
-    budget: RetryTokens,
+    retry_tokens: RetryTokens,
     agents: IndexMap<String, agents::Agent>,
     /// For each backend server the entries its agent reports to, and their digest.
     attach_lists: HashMap<String, (Vec<String>, u32)>,
@@ -73,9 +73,9 @@
     buckets: TokenBuckets,
     claims: HashMap<u64, RequestId>,
     holder: Holder,
-    calls: HashMap<u64, operators::Open>,
+    calls: HashMap<u64, operators::OpenCall>,
     /// Numbers requests, attempts, claims and calls alike.
-    last_number: u64,
+    last_id: u64,
     rng: SmallRng,
     /// A graceful stop began then.
     stopping: Option<Duration>,
@@ -86,7 +86,7 @@
         Entry {
             rng: SmallRng::seed_from_u64(common.net.incarnation()),
             lease: lease::Lease::new(conf.control.clone()),
-            holder: Holder::new(crate::clock::wall()),
+            holder: Holder::new(crate::clock::unix_time()),
             common,
             conf: conf.clone(),
             state: State::default(),
@@ -94,7 +94,7 @@
                 policy: Policy::named(&conf.policy),
                 ..Router::default()
             },
-            budget: RetryTokens::default(),
+            retry_tokens: RetryTokens::default(),
             agents: IndexMap::new(),
             attach_lists: HashMap::new(),
             requests: HashMap::new(),
@@ -103,29 +103,29 @@
             buckets: TokenBuckets::default(),
             claims: HashMap::new(),
             calls: HashMap::new(),
-            last_number: 0,
+            last_id: 0,
             stopping: None,
         }
     }
 
     /// Runs until a graceful stop is complete.
-    pub(crate) fn run(mut self, ring: &Receiver<Event>) -> Result<()> {
+    pub(crate) fn run(mut self, channel: &Receiver<Event>) -> Result<()> {
         let mut due = Duration::ZERO;
         loop {
-            match ring.recv_timeout(TICK) {
-                Ok(event) => self.take(event),
+            match channel.recv_timeout(TICK) {
+                Ok(event) => self.handle(event),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return Ok(()),
             }
-            for event in ring.try_iter().take(GROUP) {
-                self.take(event);
+            for event in channel.try_iter().take(MAX_BATCH) {
+                self.handle(event);
             }
             let now = self.now();
             if now >= due {
                 due = now + TICK;
                 self.tick(now);
             }
-            if self.may_end(now) {
+            if self.may_stop(now) {
                 return Ok(());
             }
         }
@@ -135,31 +135,31 @@
         self.common.clock.now()
     }
 
-    fn number(&mut self) -> u64 {
-        self.last_number += 1;
-        self.last_number
+    fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
     fn random(&mut self, below: usize) -> usize {
         self.rng.random_range(0..below.max(1))
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrival(arrival) => self.arrive(*arrival),
+            Event::Arrival(arrival) => self.on_arrival(*arrival),
             Event::Addresses(tx) => drop(tx.send(self.addresses())),
-            Event::Message(envelope) => self.message(*envelope),
-            Event::Command(call) => self.command(call),
-            Event::Stop => self.begin_stop(),
+            Event::Message(envelope) => self.on_message(*envelope),
+            Event::Command(call) => self.on_command(call),
+            Event::Stop => self.start_shutdown(),
         }
     }
 
-    fn message(&mut self, envelope: Envelope) {
+    fn on_message(&mut self, envelope: Envelope) {
         let Ok(inbox) = envelope.inbox.parse::<SocketAddr>() else {
             return;
         };
         let Some(body) = envelope.body else { return };
-        let from = Sender {
+        let from = Peer {
             id: envelope.from,
             incarnation: envelope.incarnation,
             inbox,
@@ -171,7 +171,7 @@
             Body::Finish(finish) => self.on_finish(&from, &finish),
             Body::LeaseGrant(grant) => self.on_grant(grant),
             Body::Outcome(outcome) => self.on_outcome(outcome),
-            Body::ClaimAsk(ask) => self.on_claim_ask(&from, &ask),
+            Body::ClaimAsk(request) => self.on_claim_request(&from, &request),
             Body::ClaimAnswer(answer) => self.on_claim_answer(&from, &answer),
             _ => {}
         }
@@ -179,18 +179,18 @@
 
     fn tick(&mut self, now: Duration) {
         self.renew_lease(now);
-        self.watch_agents(now);
-        self.watch_attempts(now);
-        self.watch_requests(now);
+        self.expire_agents(now);
+        self.expire_attempts(now);
+        self.expire_requests(now);
         self.retry_claims(now);
         self.retry_calls(now);
-        self.serve_queue(now);
+        self.serve_queues(now);
         metrics::gauge!("requests_open").set(self.requests.len() as f64);
         let queued: usize = self.queues.values().map(Queue::len).sum();
         metrics::gauge!("requests_queued").set(queued as f64);
     }
 
-    fn begin_stop(&mut self) {
+    fn start_shutdown(&mut self) {
         if self.stopping.is_none() {
             let now = self.now();
             self.stopping = Some(now);
@@ -198,21 +198,21 @@
                 "leaving",
                 "out of /v1/addresses; serving until its answers lapse",
             );
-            self.ask_lease(now);
+            self.request_lease(now);
         }
     }
 
     /// Callers may keep an address for the time to live. The other entries hear of the
     /// leaving within a lease, or two where the leader that knew of it is replaced; so
     /// long they may still hand it out, and only then may the last request be the last.
-    fn may_end(&self, now: Duration) -> bool {
-        let kept = crate::control::lease::LEASE * 2 + self.conf.ttl;
-        self.stopping.is_some_and(|at| now > at + kept) && self.requests.is_empty()
+    fn may_stop(&self, now: Duration) -> bool {
+        let address_lifetime = crate::control::lease::LEASE_DURATION * 2 + self.conf.ttl;
+        self.stopping.is_some_and(|at| now > at + address_lifetime) && self.requests.is_empty()
     }
 }
 
 /// Who sent a message.
-pub(crate) struct Sender {
+pub(crate) struct Peer {
     id: String,
     incarnation: u64,
     inbox: SocketAddr,
--- a/crates/node/src/entry/operators.rs
+++ b/crates/node/src/entry/operators.rs
@@ -2,7 +2,7 @@
 //! the leader and are asked again until their outcome is known.
 
 use super::{Entry, Event};
-use crate::pages::{Extra, fault};
+use crate::pages::{Handler, error};
 use bn_query::{Cell, Show, Statement, Table, select};
 use bn_state::{Command, config_table};
 use bn_wire::messages::envelope::Body;
@@ -12,9 +12,9 @@
 use std::time::Duration;
 
 /// A page waits this long for a command's outcome.
-const PATIENCE: Duration = Duration::from_secs(8);
+const TIMEOUT: Duration = Duration::from_secs(8);
 /// A proposal without an outcome is sent again.
-const AGAIN: Duration = Duration::from_millis(500);
+const RESEND_INTERVAL: Duration = Duration::from_millis(500);
 /// Tables that only the leader can fill.
 const LEADER_TABLES: [&str; 2] = ["members", "leases"];
 
@@ -25,40 +25,40 @@
 }
 
 /// A call that waits for the leader.
-pub(crate) struct Open {
+pub(crate) struct OpenCall {
     call: Call,
     due: Duration,
     until: Duration,
 }
 
 /// The page that takes commands: `POST /v1/command`.
-pub(crate) fn command_page(ring: Sender<Event>) -> Extra {
+pub(crate) fn command_page(channel: Sender<Event>) -> Handler {
     Box::new(move |method, path, body| {
         if (method, path) != ("POST", "/v1/command") {
             return None;
         }
-        let command = match command(body) {
+        let command = match parse_command(body) {
             Ok(command) => command,
-            Err(reason) => return Some((400, fault(&reason))),
+            Err(reason) => return Some((400, error(&reason))),
         };
         let (answer, outcome) = bounded(1);
-        if ring
+        if channel
             .try_send(Event::Command(Call { command, answer }))
             .is_err()
         {
-            return Some((503, fault("this entry is overloaded; nothing was done")));
+            return Some((503, error("this entry is overloaded; nothing was done")));
         }
-        let lost = || {
+        let pending = || {
             (
                 504,
-                fault("no outcome yet; send the same command again to learn it"),
+                error("no outcome yet; send the same command again to learn it"),
             )
         };
-        Some(outcome.recv_timeout(PATIENCE).unwrap_or_else(|_| lost()))
+        Some(outcome.recv_timeout(TIMEOUT).unwrap_or_else(|_| pending()))
     })
 }
 
-fn command(body: &[u8]) -> Result<Command, String> {
+fn parse_command(body: &[u8]) -> Result<Command, String> {
     let value: Value = serde_json::from_slice(body).map_err(|e| format!("not JSON: {e}"))?;
     let text = |name: &str| {
         let field = value.get(name).and_then(Value::as_str);
@@ -76,23 +76,23 @@
 }
 
 impl Entry {
-    pub(super) fn command(&mut self, call: Call) {
+    pub(super) fn on_command(&mut self, call: Call) {
         let statements = match bn_query::parse(&call.command.text) {
             Ok(statements) => statements,
-            Err(e) => return call.tell(400, fault(&e.to_string())),
+            Err(e) => return call.respond(400, error(&e.to_string())),
         };
         if let [Statement::Show(show)] = &statements[..]
             && !LEADER_TABLES.contains(&show.table.as_str())
         {
             let (status, text) = self.show(show);
-            return call.tell(status, text);
+            return call.respond(status, text);
         }
         let now = self.now();
-        let number = self.number();
-        let open = Open {
+        let number = self.next_id();
+        let open = OpenCall {
             call,
             due: now,
-            until: now + PATIENCE,
+            until: now + TIMEOUT,
         };
         self.calls.insert(number, open);
         self.retry_calls(now);
@@ -107,7 +107,7 @@
         };
         for (number, open) in &mut self.calls {
             if now >= open.due {
-                open.due = now + AGAIN;
+                open.due = now + RESEND_INTERVAL;
                 let command = Some((&open.call.command).into());
                 let proposal = Proposal {
                     call: *number,
@@ -126,14 +126,14 @@
             return;
         };
         if !outcome.table.is_empty() {
-            return open.call.tell(200, outcome.table);
+            return open.call.respond(200, outcome.table);
         }
         let status = if outcome.accepted { 200 } else { 409 };
         let text = json!({
             "accepted": outcome.accepted, "in_force": outcome.in_force,
             "revision": outcome.revision, "reason": outcome.reason,
         });
-        open.call.tell(status, text.to_string());
+        open.call.respond(status, text.to_string());
     }
 
     fn show(&self, show: &Show) -> (u16, String) {
@@ -146,12 +146,12 @@
         let Some(table) = table else {
             return (
                 400,
-                fault(&format!("no table {:?}; there are: {known}", show.table)),
+                error(&format!("no table {:?}; there are: {known}", show.table)),
             );
         };
         match select(show, table) {
             Ok(table) => (200, table_json(&table)),
-            Err(e) => (400, fault(&e.to_string())),
+            Err(e) => (400, error(&e.to_string())),
         }
     }
 
@@ -215,7 +215,7 @@
 }
 
 impl Call {
-    fn tell(&self, status: u16, text: String) {
+    fn respond(&self, status: u16, text: String) {
         let _ = self.answer.try_send((status, text));
     }
 }
--- a/crates/node/src/entry/request.rs
+++ b/crates/node/src/entry/request.rs
@@ -1,7 +1,7 @@
 //! A request and its attempts, as the entry holds them.
 
 use super::RequestId;
-use crate::caller::{Answer, Arrival};
+use crate::caller::{AnswerPart, Arrival};
 use bn_claim::PendingClaim;
 use std::time::Duration;
 
@@ -41,7 +41,7 @@
 impl Request {
     /// Hands a part of the answer to the caller's thread; `false`: the caller is
     /// gone, or so slow that its ring is full.
-    pub(crate) fn tell(&self, answer: Answer) -> bool {
+    pub(crate) fn send(&self, answer: AnswerPart) -> bool {
         self.arrival.answer.try_send(answer).is_ok()
     }
 
--- a/crates/node/src/http_client.rs
+++ b/crates/node/src/http_client.rs
@@ -3,16 +3,16 @@
 
 use std::time::Duration;
 
-const CONNECT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A client for one request that must end within `patience`.
-pub(crate) fn once(patience: Duration) -> ureq::Agent {
+pub(crate) fn once(timeout: Duration) -> ureq::Agent {
     ureq::Agent::config_builder()
         .max_idle_connections(0)
         .max_redirects(0)
         .http_status_as_error(false)
-        .timeout_connect(Some(CONNECT))
-        .timeout_global(Some(patience))
+        .timeout_connect(Some(CONNECT_TIMEOUT))
+        .timeout_global(Some(timeout))
         .build()
         .into()
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -12,8 +12,8 @@
 mod tls;
 mod verdict;
 
-pub use pages::{Extra, serve_metrics};
-pub use run::{Running, start};
+pub use pages::{Handler, serve_metrics};
+pub use run::{ProcessHandle, start};
 pub use verdict::{Refusal, Verdict};
 
 use snafu::Snafu;
@@ -72,7 +72,7 @@
     },
     /// A role's thread ended where it should not.
     #[snafu(display("the {role} thread ended"))]
-    Ended {
+    Panicked {
         /// Which role.
         role: &'static str,
     },
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -18,7 +18,7 @@
 use std::thread::{self, JoinHandle};
 
 /// Events that wait for a role's thread.
-const RING: usize = 16_384;
+const CHANNEL_CAPACITY: usize = 16_384;
 
 /// What every role is given.
 #[derive(Clone)]
@@ -31,16 +31,16 @@
 }
 
 /// Begins a role's graceful stop.
-type Stop = Arc<dyn Fn() + Send + Sync>;
+type StopFn = Arc<dyn Fn() + Send + Sync>;
 
 /// A started process.
-pub struct Running {
-    stops: Vec<Stop>,
+pub struct ProcessHandle {
+    stops: Vec<StopFn>,
     threads: Vec<(&'static str, JoinHandle<Result<()>>)>,
     events: Arc<Events>,
 }
 
-impl Running {
+impl ProcessHandle {
     /// What begins a graceful stop of every role: no request in flight is cut.
     pub fn stopper(&self) -> impl Fn() + Send + Sync + 'static {
         let (stops, events) = (self.stops.clone(), self.events.clone());
@@ -52,15 +52,17 @@
 
     /// Waits until every role has ended; the first failure is returned, at once.
     pub fn wait(self) -> Result<()> {
-        let mut open = self.threads;
-        while !open.is_empty() {
-            let ended = open.iter().position(|(_, t)| t.is_finished());
-            let Some(at) = ended else {
+        let mut pending = self.threads;
+        while !pending.is_empty() {
+            let finished = pending.iter().position(|(_, t)| t.is_finished());
+            let Some(at) = finished else {
                 thread::sleep(std::time::Duration::from_millis(20));
                 continue;
             };
-            let (role, thread) = open.swap_remove(at);
-            thread.join().map_err(|_| crate::Error::Ended { role })??;
+            let (role, thread) = pending.swap_remove(at);
+            thread
+                .join()
+                .map_err(|_| crate::Error::Panicked { role })??;
         }
         self.events.note("stop", "stopped");
         Ok(())
@@ -69,30 +71,30 @@
 
 /// The rings to the roles of this process.
 #[derive(Default)]
-struct Rings {
+struct Channels {
     entry: Option<Sender<entry::Event>>,
     agent: Option<Sender<agent::Event>>,
     control: Option<Sender<control::Event>>,
 }
 
 /// Starts all roles in `settings`.
-pub fn start(settings: &Settings, metrics: Metrics) -> Result<Running> {
+pub fn start(settings: &Settings, metrics: Metrics) -> Result<ProcessHandle> {
     let events = Arc::new(Events::open(&settings.id, settings.log.events.as_deref())?);
-    let mut rings = Rings::default();
+    let mut channels = Channels::default();
     let mut receivers = (None, None, None);
     if settings.entry.is_some() {
-        (rings.entry, receivers.0) = ring();
+        (channels.entry, receivers.0) = channel();
     }
     if settings.agent.is_some() {
-        (rings.agent, receivers.1) = ring();
+        (channels.agent, receivers.1) = channel();
     }
     if settings.control.is_some() {
-        (rings.control, receivers.2) = ring();
+        (channels.control, receivers.2) = channel();
     }
     let senders = (
-        rings.entry.clone(),
-        rings.agent.clone(),
-        rings.control.clone(),
+        channels.entry.clone(),
+        channels.agent.clone(),
+        channels.control.clone(),
     );
     let incarnation = rand::random::<u64>() | 1;
     let net = Net::open(
@@ -100,7 +102,7 @@
         incarnation,
         settings.inbox,
         settings.listen,
-        move |e| rings.sort(e),
+        move |e| channels.deliver(e),
     )?;
     let common = Common {
         id: settings.id.clone(),
@@ -111,12 +113,12 @@
     };
     let tls = settings.tls.as_ref().map(tls::acceptor).transpose()?;
     events.note("start", format!("{} in {}", settings.id, settings.domain));
-    let mut running = Running {
+    let mut running = ProcessHandle {
         stops: Vec::new(),
         threads: Vec::new(),
         events: events.clone(),
     };
-    let mut extra: Vec<pages::Extra> = Vec::new();
+    let mut handlers: Vec<pages::Handler> = Vec::new();
 
     if let (Some(conf), Some(tx), Some(rx)) = (&settings.control, senders.2, receivers.2) {
         let control = Control::open(common.clone(), conf)?;
@@ -134,7 +136,7 @@
         caller::serve(listener, tls.clone(), tx.clone(), conf.max_body).context(ListenSnafu {
             address: conf.callers,
         })?;
-        extra.push(entry::command_page(tx.clone()));
+        handlers.push(entry::command_page(tx.clone()));
         let entry = Entry::new(common.clone(), conf);
         running
             .threads
@@ -144,7 +146,7 @@
             .push(Arc::new(move || drop(tx.send(entry::Event::Stop))));
     }
     if let (Some(conf), Some(tx), Some(rx)) = (&settings.agent, senders.1, receivers.1) {
-        extra.push(agent::announce_page(tx.clone()));
+        handlers.push(agent::announce_page(tx.clone()));
         let agent = agent::Agent::new(common.clone(), conf, tx.clone());
         running
             .threads
@@ -159,21 +161,21 @@
         Pages {
             events,
             metrics,
-            extra: extra.into(),
+            handlers: handlers.into(),
         },
     )?;
     Ok(running)
 }
 
-fn ring<T>() -> (Option<Sender<T>>, Option<Receiver<T>>) {
-    let (tx, rx) = bounded(RING);
+fn channel<T>() -> (Option<Sender<T>>, Option<Receiver<T>>) {
+    let (tx, rx) = bounded(CHANNEL_CAPACITY);
     (Some(tx), Some(rx))
 }
 
-impl Rings {
+impl Channels {
     /// Hands a message to the role it is for. A full ring loses it, as a link may.
-    fn sort(&self, envelope: Envelope) {
-        let lost = match &envelope.body {
+    fn deliver(&self, envelope: Envelope) {
+        let dropped = match &envelope.body {
             Some(
                 Body::Attach(_)
                 | Body::Started(_)
@@ -183,22 +185,22 @@
                 | Body::Outcome(_)
                 | Body::ClaimAsk(_)
                 | Body::ClaimAnswer(_),
-            ) => lost(&self.entry, entry::Event::Message(Box::new(envelope))),
+            ) => is_dropped(&self.entry, entry::Event::Message(Box::new(envelope))),
             Some(
                 Body::AgentLease(_) | Body::Dispatch(_) | Body::Cancel(_) | Body::SwitchOrder(_),
-            ) => lost(&self.agent, agent::Event::Message(Box::new(envelope))),
+            ) => is_dropped(&self.agent, agent::Event::Message(Box::new(envelope))),
             Some(
                 Body::Quorum(_) | Body::LeaseAsk(_) | Body::Proposal(_) | Body::SwitchReport(_),
-            ) => lost(&self.control, control::Event::Message(Box::new(envelope))),
+            ) => is_dropped(&self.control, control::Event::Message(Box::new(envelope))),
             // Messages of the gateway and coordinator roles, which are processes of their own.
             _ => true,
         };
-        if lost {
+        if dropped {
             metrics::counter!("ring_lost").increment(1);
         }
     }
 }
 
-fn lost<T>(ring: &Option<Sender<T>>, event: T) -> bool {
-    ring.as_ref().is_none_or(|r| r.try_send(event).is_err())
+fn is_dropped<T>(channel: &Option<Sender<T>>, event: T) -> bool {
+    channel.as_ref().is_none_or(|r| r.try_send(event).is_err())
 }
--- a/crates/node/src/verdict.rs
+++ b/crates/node/src/verdict.rs
@@ -31,7 +31,7 @@
     /// Why.
     pub reason: String,
     /// When to come back; `None`: not with this request.
-    pub retry: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
@@ -40,7 +40,7 @@
             status,
             verdict: Verdict::NotRun,
             reason: reason.into(),
-            retry: None,
+            retry_after: None,
         }
     }
 
@@ -51,9 +51,9 @@
         }
     }
 
-    pub(crate) fn retry(self, after: Duration) -> Refusal {
+    pub(crate) fn retry_after(self, after: Duration) -> Refusal {
         Refusal {
-            retry: Some(after),
+            retry_after: Some(after),
             ..self
         }
     }
