--- a/crates/node/src/caller.rs
+++ b/crates/node/src/caller.rs
@@ -1,5 +1,5 @@
-//! The callers' side of an entry: HTTP in, streamed answers out. One thread with a
-//! current-thread runtime; requests go to the entry's thread over a bounded ring.
+//! The HTTP server of an entry for callers, with streamed answers. One thread with a
+//! current-thread runtime; requests go to the entry's thread over a bounded channel.
 
 use crate::entry::Event;
 use crate::verdict::{Refusal, Verdict};
@@ -19,31 +19,31 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio_rustls::TlsAcceptor;
 
-/// Pieces of one answer that wait for a slow caller; past that it is cut.
+/// Maximum number of answer parts buffered for a slow caller; beyond it the answer is cut.
 pub(crate) const ANSWER_CHANNEL_CAPACITY: usize = 1024;
 const JSON: &str = "application/json";
-/// Where a caller gives no deadline.
+/// Deadline of requests that specify none.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
 const MAX_DEADLINE: Duration = Duration::from_secs(600);
-/// Bytes of a body that stand for its prompt's beginning.
+/// Length of the body prefix that represents the start of the prompt.
 const PREFIX_BYTES: usize = 256;
 
-/// A part of an answer.
+/// Part of an answer.
 #[derive(Debug)]
 pub(crate) enum AnswerPart {
     /// Status and headers of the backend server's answer.
     Head(u16, Vec<(String, String)>),
-    /// The next bytes.
+    /// The next bytes of the body.
     Data(Vec<u8>),
-    /// The answer is whole.
+    /// The answer is complete.
     End,
-    /// There will be no more, and it is not whole.
+    /// The answer ends incomplete.
     Cut(String),
-    /// There is none.
+    /// There is no answer.
     Refused(Refusal),
 }
 
-/// A request that passed the checks which need no state.
+/// A request that passed the stateless checks.
 #[derive(Debug)]
 pub(crate) struct Arrival {
     pub(crate) service: String,
@@ -60,13 +60,13 @@
     pub(crate) answer: mpsc::Sender<AnswerPart>,
 }
 
-/// What each connection needs.
+/// State shared by all connections.
 struct Shared {
     channel: Sender<Event>,
     max_body: usize,
 }
 
-/// Serves callers on their own thread, until the process ends.
+/// Serves callers on a separate thread until the process terminates.
 pub(crate) fn serve(
     listener: TcpListener,
     tls: Option<TlsAcceptor>,
@@ -126,13 +126,13 @@
     match answers.recv().await {
         Some(AnswerPart::Head(status, headers)) => stream(status, headers, answers),
         Some(AnswerPart::Refused(refusal)) => refusal_response(&refusal),
-        // The entry's thread dropped the request without a word: a fault of ours.
+        // The entry's thread dropped the request without an answer: an internal error.
         _ => refusal_response(&Refusal::may_have_run(500, "the entry lost the request")),
     }
 }
 
-/// The answer as it arrives. Only `End` closes it as whole: an error from the body
-/// makes the connection break, so that a caller can tell a cut answer.
+/// Streams the answer as it arrives. Only `End` closes it as complete: an error from the body
+/// aborts the connection, so that the caller can detect a truncated answer.
 fn stream(
     status: u16,
     headers: Vec<(String, String)>,
@@ -276,7 +276,7 @@
     })
 }
 
-/// Headers the backend server gets; the connection's own and the key stay here.
+/// Headers forwarded to the backend server, without the key and connection-specific headers.
 fn forwarded_headers(headers: &HeaderMap) -> Vec<(String, String)> {
     let allowed = [
         "content-type",
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,8 +1,8 @@
-//! The process's clocks: monotonic for decisions, wall for the ages of keys.
+//! Clocks of the process: monotonic time for decisions, wall-clock time for the age of keys.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Monotonic time since the process's start.
+/// Monotonic time since the start of the process.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Clock(Instant);
 
@@ -16,14 +16,14 @@
     }
 }
 
-/// Wall time since 1970.
+/// Wall-clock time since the Unix epoch.
 pub(crate) fn unix_time() -> Duration {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
 }
 
-/// Whole milliseconds.
+/// Converts a duration to whole milliseconds.
 pub(crate) fn ms(d: Duration) -> u64 {
     d.as_millis() as u64
 }
--- a/crates/node/src/http_client.rs
+++ b/crates/node/src/http_client.rs
@@ -1,11 +1,11 @@
-//! HTTP towards backend servers: one connection a request. A pooled connection may be
-//! dead at write time, and a second try by the library would run a request twice.
+//! HTTP client for backend servers, with one connection per request. A pooled connection may
+//! already be closed when it is written to, and a retry by the library would run the request twice.
 
 use std::time::Duration;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A client for one request that must end within `patience`.
+/// Returns a client for one request that must complete within `timeout`.
 pub(crate) fn once(timeout: Duration) -> ureq::Agent {
     ureq::Agent::config_builder()
         .max_idle_connections(0)
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,5 +1,5 @@
-//! The processes: threads, sockets and clocks around the decisions of the other
-//! crates. A thread for each duty, joined by bounded rings.
+//! The node process: threads, sockets and clocks around the logic of the other crates. Each role
+//! runs on its own thread; threads communicate over bounded channels.
 
 mod agent;
 mod caller;
@@ -18,48 +18,48 @@
 
 use snafu::Snafu;
 
-/// Why a process could not start, or had to end.
+/// Why a process could not start, or had to terminate.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
     /// The inbox could not be opened.
     #[snafu(display("{source}"), context(false))]
     Net {
-        /// What the links said.
+        /// Error of the network links.
         source: bn_net::Error,
     },
     /// A socket could not be opened.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// Where.
+        /// Address to bind.
         address: std::net::SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// Logs, metrics or events could not be set up.
     #[snafu(display("{source}"), context(false))]
     Trace {
-        /// What it said.
+        /// Underlying error.
         source: bn_trace::Error,
     },
-    /// The data folder cannot be used.
+    /// The data directory cannot be used.
     #[snafu(display("{source}"), context(false))]
     Store {
-        /// What it said.
+        /// Underlying error.
         source: bn_store::Error,
     },
-    /// What the data folder or a message holds does not decode.
-    #[snafu(display("undecodable {what}"))]
+    /// Content of the data directory or of a message cannot be decoded.
+    #[snafu(display("cannot decode {what}"))]
     Decode {
-        /// What it was.
+        /// Kind of the content.
         what: &'static str,
     },
-    /// The file of first statements could not be read.
-    #[snafu(display("seed {}: {source}", path.display()))]
+    /// The seed file with the initial statements could not be read.
+    #[snafu(display("cannot read seed file {}: {source}", path.display()))]
     Seed {
         /// The file.
         path: std::path::PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// A certificate or its key cannot be used.
@@ -67,16 +67,16 @@
     Tls {
         /// The file.
         path: std::path::PathBuf,
-        /// What is wrong.
+        /// Cause of the failure.
         reason: String,
     },
-    /// A role's thread ended where it should not.
-    #[snafu(display("the {role} thread ended"))]
+    /// The thread of a role panicked.
+    #[snafu(display("the {role} thread panicked"))]
     Panicked {
-        /// Which role.
+        /// The role.
         role: &'static str,
     },
 }
 
-/// Result of starting and running.
+/// Result of starting or running a process.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
--- a/crates/node/src/pages.rs
+++ b/crates/node/src/pages.rs
@@ -1,5 +1,5 @@
-//! Small HTTP pages for operators and backend servers: metrics, events, commands,
-//! announcements. Nothing here streams.
+//! HTTP endpoints for operators and backend servers: metrics, events, commands, announcements.
+//! None of them streams.
 
 use crate::{ListenSnafu, Result};
 use bn_serve::{Body, Bounds, text, whole_body};
@@ -11,22 +11,22 @@
 use std::sync::Arc;
 use tokio_rustls::TlsAcceptor;
 
-/// Largest body taken, in bytes.
+/// Maximum size of a request body, in bytes.
 const LARGEST_BODY: usize = 1 << 20;
 const JSON: &str = "application/json";
 const PLAIN: &str = "text/plain";
 
-/// Answers to the paths that a role adds: status and JSON text. May block.
+/// Handles the paths that a role adds, returning the status and JSON text. May block.
 pub type Handler = Box<dyn Fn(&str, &str, &[u8]) -> Option<(u16, String)> + Send + Sync>;
 
-/// What the pages show.
+/// Data sources and handlers of the endpoints.
 pub(crate) struct Pages {
     pub(crate) events: Arc<Events>,
     pub(crate) metrics: Metrics,
     pub(crate) handlers: Arc<Vec<Handler>>,
 }
 
-/// Serves the pages on their own thread, until the process ends.
+/// Serves the endpoints on a separate thread until the process terminates.
 pub(crate) fn serve(address: SocketAddr, tls: Option<TlsAcceptor>, pages: Pages) -> Result<()> {
     let listener = TcpListener::bind(address).context(ListenSnafu { address })?;
     let pages = Arc::new(pages);
@@ -34,7 +34,7 @@
     bn_serve::serve(listener, "pages", tls, handle).context(ListenSnafu { address })
 }
 
-/// Serves metrics, for roles that have few other pages.
+/// Serves metrics, for roles with few other endpoints.
 pub fn serve_metrics(address: SocketAddr, metrics: Metrics, handlers: Vec<Handler>) -> Result<()> {
     let listener = TcpListener::bind(address).context(ListenSnafu { address })?;
     let handlers = Arc::new(handlers);
@@ -85,8 +85,8 @@
             error("the body broke off, came too slowly or is too large"),
         );
     };
-    // A command's page waits for its outcome: off the runtime's thread, so that
-    // metrics and announcements go on meanwhile.
+    // A command handler blocks until its outcome is known: it runs outside the runtime's thread, so
+    // that metrics and announcements are served meanwhile.
     let work = move || handlers.iter().find_map(|f| f(&method, &path, &body));
     match tokio::task::spawn_blocking(work).await {
         Ok(Some((status, answer))) => text(status, JSON, answer),
@@ -95,7 +95,7 @@
     }
 }
 
-/// A fault as JSON text.
+/// Formats an error as JSON text.
 pub(crate) fn error(reason: &str) -> String {
     serde_json::json!({ "error": reason }).to_string()
 }
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -1,4 +1,4 @@
-//! Starting a process from its settings: every role that they list.
+//! Starts a process with every role that its settings list.
 
 use crate::clock::Clock;
 use crate::control::Control;
@@ -17,10 +17,10 @@
 use std::sync::Arc;
 use std::thread::{self, JoinHandle};
 
-/// Events that wait for a role's thread.
+/// Maximum number of events that wait for a role's thread.
 const CHANNEL_CAPACITY: usize = 16_384;
 
-/// What every role is given.
+/// Context that every role receives.
 #[derive(Clone)]
 pub(crate) struct Common {
     pub(crate) id: String,
@@ -30,10 +30,10 @@
     pub(crate) events: Arc<Events>,
 }
 
-/// Begins a role's graceful stop.
+/// Starts the graceful shutdown of a role.
 type StopFn = Arc<dyn Fn() + Send + Sync>;
 
-/// A started process.
+/// Handle of a started process.
 pub struct ProcessHandle {
     stops: Vec<StopFn>,
     threads: Vec<(&'static str, JoinHandle<Result<()>>)>,
@@ -41,7 +41,7 @@
 }
 
 impl ProcessHandle {
-    /// What begins a graceful stop of every role: no request in flight is cut.
+    /// Returns a function that gracefully stops every role: no request in flight is cut.
     pub fn stopper(&self) -> impl Fn() + Send + Sync + 'static {
         let (stops, events) = (self.stops.clone(), self.events.clone());
         move || {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Waits until every role has ended; the first failure is returned, at once.
+    /// Waits until every role has terminated; returns the first failure immediately.
     pub fn wait(self) -> Result<()> {
         let mut pending = self.threads;
         while !pending.is_empty() {
@@ -69,7 +69,7 @@
     }
 }
 
-/// The rings to the roles of this process.
+/// Channels to the roles of this process.
 #[derive(Default)]
 struct Channels {
     entry: Option<Sender<entry::Event>>,
@@ -77,7 +77,7 @@
     control: Option<Sender<control::Event>>,
 }
 
-/// Starts all roles in `settings`.
+/// Starts all roles listed in `settings`.
 pub fn start(settings: &Settings, metrics: Metrics) -> Result<ProcessHandle> {
     let events = Arc::new(Events::open(&settings.id, settings.log.events.as_deref())?);
     let mut channels = Channels::default();
@@ -173,7 +173,7 @@
 }
 
 impl Channels {
-    /// Hands a message to the role it is for. A full ring loses it, as a link may.
+    /// Passes a message to the role that handles it. A full channel drops it, as a link may.
     fn deliver(&self, envelope: Envelope) {
         let dropped = match &envelope.body {
             Some(
@@ -192,7 +192,7 @@
             Some(
                 Body::Quorum(_) | Body::LeaseAsk(_) | Body::Proposal(_) | Body::SwitchReport(_),
             ) => is_dropped(&self.control, control::Event::Message(Box::new(envelope))),
-            // Messages of the gateway and coordinator roles, which are processes of their own.
+            // Messages for the gateway and coordinator roles, which run as separate processes.
             _ => true,
         };
         if dropped {
--- a/crates/node/src/tls.rs
+++ b/crates/node/src/tls.rs
@@ -1,4 +1,4 @@
-//! TLS towards callers and operators, whose keys travel.
+//! TLS for callers and operators, whose requests carry keys.
 
 use crate::{Error, Result};
 use bn_conf::Tls;
@@ -9,7 +9,7 @@
 use tokio_rustls::TlsAcceptor;
 use tokio_rustls::rustls::ServerConfig;
 
-/// Reads the certificate and its key.
+/// Loads the certificate and its private key.
 pub(crate) fn acceptor(conf: &Tls) -> Result<TlsAcceptor> {
     let chain = CertificateDer::pem_file_iter(&conf.cert)
         .and_then(Iterator::collect::<std::result::Result<Vec<_>, _>>)
--- a/crates/node/src/verdict.rs
+++ b/crates/node/src/verdict.rs
@@ -1,13 +1,13 @@
-//! What a caller is told when there is no whole answer.
+//! What a caller receives when there is no complete answer.
 
 use std::time::Duration;
 
-/// Whether a refused request may have run. Decides every retry.
+/// Whether a refused request may have run; every retry depends on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It was not run, and will not be.
+    /// The request was not run and will not be.
     NotRun,
-    /// It may have run, or may still.
+    /// The request may have run, or may still run.
     MayHaveRun,
 }
 
@@ -21,16 +21,16 @@
     }
 }
 
-/// The final answer to a request that has no whole answer.
+/// Final response to a request without a complete answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
     /// HTTP status.
     pub status: u16,
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub verdict: Verdict,
-    /// Why.
+    /// Reason for the refusal.
     pub reason: String,
-    /// When to come back; `None`: not with this request.
+    /// Delay before a retry; `None`: this request must not be retried.
     pub retry_after: Option<Duration>,
 }
 
