--- a/crates/node/src/agent/announce.rs
+++ b/crates/node/src/agent/announce.rs
@@ -1,5 +1,5 @@
-//! The announcement interface: backend servers tell their agent who they are and
-//! how loaded, about once a second: `POST /v1/announce`.
+//! The announcement endpoint, `POST /v1/announce`: backend servers report their identity and load
+//! to their agent about once a second.
 
 use super::Event;
 use crate::pages::{Handler, error};
@@ -7,64 +7,64 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// What a backend server says of itself.
+/// Announcement of a backend server.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Announcement {
-    /// Its id, unique in the system.
+    /// Id of the backend server, unique in the system.
     pub(crate) name: String,
-    /// The service it serves.
+    /// Service that it provides.
     pub(crate) service: String,
-    /// Its lock-step group, where it is in one.
+    /// Lock-step group that it belongs to; empty without one.
     #[serde(default)]
     pub(crate) group: String,
-    /// Its rank there.
+    /// Rank in the group.
     #[serde(default)]
     pub(crate) rank: u32,
-    /// Where it serves HTTP.
+    /// HTTP address.
     pub(crate) address: SocketAddr,
-    /// Requests it runs at once.
+    /// Maximum number of concurrent requests.
     pub(crate) capacity: u32,
-    /// It refuses orders with an old fencing number itself.
+    /// Whether it rejects orders with an outdated fencing token itself.
     #[serde(default)]
     pub(crate) fences: bool,
-    /// It can start an answer at an offset.
+    /// Whether it can resume an answer at an offset.
     #[serde(default)]
     pub(crate) resumes: bool,
-    /// It wants no new work.
+    /// Whether it accepts no new requests.
     #[serde(default)]
     pub(crate) leaving: bool,
-    /// Where it stands in its group's steps.
+    /// Progress in the steps of its group.
     #[serde(default)]
     pub(crate) steps: Option<Steps>,
-    /// How loaded it is, as it last measured.
+    /// Most recently measured load.
     #[serde(default)]
     pub(crate) load: Load,
 }
 
-/// An engine's place in the steps of its group.
+/// Progress of an engine in the steps of its group.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Steps {
     /// Next step to run.
     pub(crate) next: u64,
-    /// First step that it may not run.
+    /// First step that it has no permission to run.
     pub(crate) granted: u64,
-    /// Latest version of the expert map whose first step it knows.
+    /// Latest version of the expert map whose first step is known to it.
     pub(crate) version: u64,
-    /// Latest version that it has loaded.
+    /// Latest version of the expert map that it has loaded.
     pub(crate) prepared: u64,
 }
 
-/// Load as the backend server measures it.
+/// Load as measured by the backend server.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct Load {
-    /// Tokens batched and queued.
+    /// Number of batched and queued tokens.
     pub(crate) tokens: u64,
 }
 
-/// The page that takes announcements.
+/// Handler of the announcement endpoint.
 pub(crate) fn announce_page(channel: Sender<Event>) -> Handler {
     Box::new(move |method, path, body| {
         if (method, path) != ("POST", "/v1/announce") {
--- a/crates/node/src/agent/engine.rs
+++ b/crates/node/src/agent/engine.rs
@@ -1,4 +1,4 @@
-//! One request at the backend server, on its own thread: asked once, streamed back.
+//! One request at the backend server, on its own thread: sent once, with the answer streamed back.
 
 use super::Event;
 use crate::clock::Clock;
@@ -16,15 +16,15 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-/// Largest piece, in bytes.
+/// Maximum size of a piece of an answer.
 const MAX_PIECE_BYTES: usize = 16 * 1024;
-/// How long a full link is waited for before the answer is given up.
+/// Time to wait for a full link before the answer is abandoned.
 const LINK_TIMEOUT: Duration = Duration::from_secs(2);
 const LINK_RETRY_INTERVAL: Duration = Duration::from_millis(1);
-/// Headers of the backend server's answer that callers get.
+/// Headers of the backend server's response that are forwarded to callers.
 const FORWARDED_HEADERS: [&str; 4] = ["content-type", "cache-control", "x-fake", "retry-after"];
 
-/// A request to run.
+/// A request to run at the backend server.
 pub(crate) struct BackendCall {
     pub(crate) net: Net,
     pub(crate) channel: Sender<Event>,
@@ -34,11 +34,11 @@
     pub(crate) dispatch: Dispatch,
     pub(crate) cancelled: Arc<AtomicBool>,
     pub(crate) clock: Clock,
-    /// Requests that run at this backend server.
+    /// Number of requests running at this backend server.
     pub(crate) running: Arc<AtomicU32>,
 }
 
-/// How it ended.
+/// Outcome of the request.
 struct Completion {
     kind: Kind,
     length: u64,
@@ -46,7 +46,7 @@
 }
 
 impl BackendCall {
-    /// Runs the request and reports its end; never asks twice.
+    /// Runs the request and reports its completion; never sends it twice.
     pub(crate) fn run(self) {
         let completion = self.execute();
         let finish = Finish {
@@ -54,7 +54,7 @@
             kind: completion.kind.into(),
             length: completion.length,
             reason: completion.reason,
-            // This one has ended.
+            // This request has completed.
             running: self.running.load(Ordering::Relaxed).saturating_sub(1),
             full: false,
         };
@@ -62,10 +62,10 @@
         self.notify(Event::RequestEnded(self.key));
     }
 
-    /// Tells the agent's thread. It is gone only where the process ends.
+    /// Notifies the agent's thread. It has terminated only if the process terminates.
     fn notify(&self, event: Event) {
         if self.channel.send(event).is_err() {
-            log::info!("the agent's thread has ended before a request");
+            log::info!("the agent thread terminated while a request was running");
         }
     }
 
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The agent learns whether the backend server wants more, before its caller gets a byte.
+    /// Reports to the agent whether more requests are accepted, before the caller gets a byte.
     fn report_response(&self, sent_at: Duration, head: &http::response::Parts) {
         let backoff = match head.status {
             http::StatusCode::SERVICE_UNAVAILABLE => retry_after(&head.headers),
@@ -169,8 +169,8 @@
         }
     }
 
-    /// Waits a while for room on the link, so that a burst slows this request down
-    /// and loses nothing of it.
+    /// Waits up to `LINK_TIMEOUT` for capacity on the link, so that a burst delays this answer and
+    /// drops no part of it.
     fn send(&self, body: Body) -> bool {
         let start = Instant::now();
         loop {
@@ -193,13 +193,13 @@
     }
 }
 
-/// Seconds after which a backend server wants the next request; dates are not read.
+/// Parses the seconds of a `Retry-After` header; HTTP dates are not supported.
 fn retry_after(headers: &http::HeaderMap) -> Option<Duration> {
     let value = headers.get(http::header::RETRY_AFTER)?;
     let seconds = value.to_str().ok().and_then(|v| v.trim().parse().ok());
     let time = seconds.and_then(|s: f64| Duration::try_from_secs_f64(s).ok());
     if time.is_none() {
-        log::warn!("a time to come back that is none: {value:?}");
+        log::warn!("invalid Retry-After header from the backend server: {value:?}");
     }
     time
 }
--- a/crates/node/src/agent/mod.rs
+++ b/crates/node/src/agent/mod.rs
@@ -1,5 +1,5 @@
-//! The agent role: stands before one backend server, takes its announcements, gates
-//! what reaches it, and reports its load to entries.
+//! The agent role: a proxy in front of one backend server. It receives the server's announcements,
+//! controls which requests reach it, and reports its load to entries.
 
 mod announce;
 mod engine;
@@ -29,37 +29,37 @@
 
 const TICK: Duration = Duration::from_millis(20);
 const MAX_BATCH: usize = 256;
-/// A backend server that has not announced itself for this long is not served.
+/// Time without an announcement after which no requests are sent to the backend server.
 const MAX_SILENCE: Duration = Duration::from_secs(3);
 
-/// What the agent thread is told.
+/// Events handled by the agent thread.
 pub(crate) enum Event {
-    /// The backend server announces itself.
+    /// An announcement of the backend server.
     Announced(Box<Announcement>),
-    /// A message of an entry.
+    /// A message from an entry.
     Message(Box<Envelope>),
-    /// The head of an answer of the backend server.
+    /// Feedback in the response head of the backend server.
     ResponseHead(Feedback),
-    /// A request ended.
+    /// A request completed.
     RequestEnded(RunKey),
-    /// Begin a graceful stop.
+    /// Start a graceful shutdown.
     Stop,
 }
 
-/// What makes a rank's report due at once when it changes: the leader, the fencing
-/// number, the versions that the engine loaded and knows.
+/// Status whose change triggers an immediate rank report: the leader, the fencing token, and the
+/// expert map versions that the engine has loaded and knows.
 type RankStatus = (Option<SocketAddr>, u64, u64, u64);
 
-/// One entry this agent reports to.
+/// An entry that this agent reports to.
 #[derive(Default)]
 struct EntryLink {
     next_report: Duration,
     last_contact: Option<Duration>,
-    /// It has the profile of this start.
+    /// Whether it has the profile of this incarnation.
     has_profile: bool,
 }
 
-/// The agent role's state.
+/// State of the agent role.
 pub(crate) struct Agent {
     common: Common,
     channel: Sender<Event>,
@@ -68,24 +68,24 @@
     backend: Option<Announcement>,
     announced_at: Duration,
     gate: Gate,
-    /// What the backend server asks of its senders: of this agent, which is the only one.
+    /// Backpressure that the backend server requests from its only sender, this agent.
     backpressure: Backpressure,
-    /// Whether it took requests when entries were told last.
+    /// Whether the backend server accepted requests at the last report to entries.
     reported_open: bool,
-    /// The engine's place in its group.
+    /// Group state of the engine.
     rank: RankGate,
     orders: Sender<orders::EngineCommand>,
-    /// Where the control leader listens.
+    /// Inbox of the control leader.
     leader: Option<SocketAddr>,
-    /// Digest of the entries it was told to report to.
+    /// Digest of the assigned list of entries.
     entries_digest: u32,
-    /// Revision of the list of entries it follows.
+    /// Revision of the assigned list of entries.
     entries_revision: u64,
-    /// When the leader was last told of the rank, and what.
+    /// Time and content of the last rank report to the leader.
     last_rank_report: (Duration, RankStatus),
-    /// Requests that run, each with its flag of being cancelled.
+    /// Running requests, each with its cancellation flag.
     running: HashMap<RunKey, Arc<AtomicBool>>,
-    /// How many they are, for their threads to tell.
+    /// Number of running requests, which their threads report.
     running_count: Arc<AtomicU32>,
     stopping: bool,
 }
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Runs until a graceful stop is complete.
+    /// Runs until a graceful shutdown is complete.
     pub(crate) fn run(mut self, channel: &Receiver<Event>) -> Result<()> {
         loop {
             match channel.recv_timeout(TICK) {
@@ -129,7 +129,7 @@
             for event in channel.try_iter().take(MAX_BATCH) {
                 self.handle(event);
             }
-            // Entries choose another one at once, and this one again when it wants more.
+            // Entries switch to other backend servers at once, and back when this one accepts again.
             let open = self.accepts_requests(self.now());
             let changed = std::mem::replace(&mut self.reported_open, open) != open;
             self.report(changed);
@@ -184,7 +184,7 @@
         }
     }
 
-    /// The backend server takes a request now, as far as it said.
+    /// Whether the backend server accepts a request now, according to its feedback.
     fn accepts_requests(&self, now: Duration) -> bool {
         self.backpressure.may_send(now)
     }
@@ -196,7 +196,7 @@
             .as_ref()
             .is_none_or(|b| b.address != announcement.address);
         if new_backend {
-            // Another one, which asked for nothing yet.
+            // A different backend server, which has not requested any backpressure yet.
             self.backpressure = Backpressure::default();
             let detail = format!("{} at {}", announcement.name, announcement.address);
             self.common.events.note("announced", detail);
@@ -280,7 +280,7 @@
         std::thread::spawn(move || call.run());
     }
 
-    /// Passes an order on to the engine, if it is one of the latest leader known.
+    /// Forwards an order to the engine if it comes from the latest known leader.
     fn on_order(&mut self, raw: SwitchOrder) {
         let Some(engine) = self.backend.as_ref().map(|b| b.address) else {
             return;
@@ -290,7 +290,7 @@
         };
         if let Err(refusal) = self.rank.admit(&order) {
             metrics::counter!("orders_refused").increment(1);
-            return log::warn!("order refused: {refusal}");
+            return log::warn!("order to the engine refused: {refusal}");
         }
         if self
             .orders
--- a/crates/node/src/agent/orders.rs
+++ b/crates/node/src/agent/orders.rs
@@ -1,5 +1,5 @@
-//! Orders to the engine, on a thread of their own: the agent's thread must not wait
-//! for an engine that loads weights or stands still.
+//! Sends orders to the engine on a separate thread: the agent's thread must not block on an engine
+//! that is loading weights or has stalled.
 
 use crate::http_client;
 use bn_group::{Order, OrderKind};
@@ -11,17 +11,17 @@
 use std::thread;
 use std::time::Duration;
 
-/// Orders that wait; past that they are dropped, and come again with a later report.
+/// Maximum number of queued orders; further ones are dropped and sent again after a later report.
 const QUEUE_CAPACITY: usize = 32;
 const ENGINE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An order on its way to an engine.
+/// An order and the engine that it is sent to.
 pub(crate) struct EngineCommand {
     pub(crate) engine: SocketAddr,
     pub(crate) order: Order,
 }
 
-/// Starts the thread; orders go in at the ring that it returns.
+/// Starts the thread and returns the channel for orders.
 pub(crate) fn start(events: Arc<Events>) -> Sender<EngineCommand> {
     let (tx, rx) = bounded(QUEUE_CAPACITY);
     thread::spawn(move || send_commands(&rx, &events));
@@ -40,7 +40,7 @@
             Ok(status) => events.note("order", format!("{path} refused by the engine: {status}")),
             Err(e) => {
                 metrics::counter!("orders_failed").increment(1);
-                log::debug!("{path}: {e}");
+                log::debug!("cannot send {path} order to the engine: {e}");
             }
         }
     }
--- a/crates/node/src/agent/report.rs
+++ b/crates/node/src/agent/report.rs
@@ -1,4 +1,4 @@
-//! What an agent tells entries and the control leader, and the leases it gets back.
+//! Reports of an agent to entries and the control leader, and the leases that entries return.
 
 use super::announce::{Announcement, Load};
 use super::{Agent, MAX_SILENCE};
@@ -10,13 +10,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Between two reports to each entry.
+/// Interval between two reports to an entry.
 const REPORT_EVERY: Duration = Duration::from_secs(1);
-/// After so long without any entry's answer the list of entries is in doubt.
+/// Time without an answer from any entry after which the list of entries may be outdated.
 const SEEDS_AFTER: Duration = Duration::from_secs(10);
-/// Entries that never answer are asked this often, so that they cost little.
+/// Interval between reports to unresponsive entries, long enough to cost little.
 const PROBE_EVERY: Duration = Duration::from_secs(2);
-/// Between two reports of a rank, unless something changed.
+/// Interval between two reports of an unchanged rank.
 const RANK_REPORT_EVERY: Duration = Duration::from_secs(1);
 
 impl Agent {
@@ -46,8 +46,8 @@
         self.follow_entries(lease);
     }
 
-    /// Reports to the entries it is told. An entry that lags behind must not pull it
-    /// back to an older list.
+    /// Adopts the assigned list of entries. An entry that lags behind must not replace it with an
+    /// older list.
     fn follow_entries(&mut self, lease: &AgentLease) {
         let listed: IndexSet<SocketAddr> = lease
             .entries
@@ -65,8 +65,8 @@
         self.entries.retain(|a, _| listed.contains(a));
     }
 
-    /// Where every entry it knows has been silent for long, the list may be out of
-    /// date: it turns to the entries of its settings again.
+    /// Adds the entries from the settings again if no known entry has answered for `SEEDS_AFTER`:
+    /// the list may be outdated.
     fn fall_back_to_seeds(&mut self, now: Duration) {
         let latest = self
             .entries
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Tells the leader where the engine stands. After an announcement only, so that
-    /// the leader hears nothing of an engine that is gone.
+    /// Reports the engine's rank status to the leader. Called only after an announcement, so that
+    /// the leader receives no reports about an engine that has terminated.
     pub(super) fn report_rank(&mut self) {
         let now = self.now();
         let r = self.rank.report();
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Tells each entry that is due, or every entry, how things stand.
+    /// Sends a report to each entry whose report is due, or to every entry.
     pub(super) fn report(&mut self, all: bool) {
         let now = self.now();
         self.fall_back_to_seeds(now);
@@ -145,7 +145,7 @@
             queued: 0,
             tokens: load.tokens,
             leaving: self.gate.is_leaving(),
-            // Without a lease it would turn everything away, as the backend server does that wants rest.
+            // Without a lease the agent rejects every request, as does a backend server in backoff.
             healthy: now < self.announced_at + MAX_SILENCE
                 && self.gate.has_lease(now)
                 && self.accepts_requests(now),
