--- a/crates/node/src/control/groups.rs
+++ b/crates/node/src/control/groups.rs
@@ -1,5 +1,5 @@
-//! Lock-step groups at the leader: one coordinator each, orders to ranks' agents,
-//! commits to the log.
+//! Lock-step groups at the leader: runs a coordinator for each, sends orders to the agents of the
+//! ranks and commits switches to the log.
 
 use super::Control;
 use bn_group::{Action, CommittedState, Coordinator, Order, OrderKind, RankReport};
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The coordinators of one term.
+/// Coordinators of one term.
 #[derive(Default)]
 pub(crate) struct Groups {
     fence: u64,
@@ -21,7 +21,7 @@
 }
 
 impl Groups {
-    /// A new term: what an earlier one knew of the ranks is void.
+    /// Starts a new term; what an earlier term knew about the ranks is invalid.
     pub(crate) fn start(&mut self, fence: u64) {
         *self = Groups {
             fence,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Brings the coordinators to the applied state.
+    /// Updates the coordinators to the applied state.
     fn sync_groups(&mut self) {
         let groups = &self.state.groups;
         self.groups
@@ -100,23 +100,21 @@
                 Action::Commit { version, from } => {
                     let detail = format!("{group}: version {version} from step {from}");
                     self.common.events.note("switch", detail);
-                    self.propose_command(format!(
-                        "switch group {group} commit={version} step={from}"
-                    ));
+                    self.propose_text(format!("switch group {group} commit={version} step={from}"));
                 }
                 Action::Reserve { until } => {
-                    self.propose_command(format!("switch group {group} reserve={until}"));
+                    self.propose_text(format!("switch group {group} reserve={until}"));
                 }
                 Action::Cancel { version, reason } => {
                     let detail = format!("{group}: version {version} given up: {reason}");
                     self.common.events.note("switch", detail);
-                    self.propose_command(format!("switch group {group} cancel={version}"));
+                    self.propose_text(format!("switch group {group} cancel={version}"));
                 }
             }
         }
     }
 
-    fn propose_command(&mut self, text: String) {
+    fn propose_text(&mut self, text: String) {
         let (operator, token) = (LEADER_OPERATOR.to_string(), String::new());
         let command = Command {
             operator,
--- a/crates/node/src/control/lease.rs
+++ b/crates/node/src/control/lease.rs
@@ -1,5 +1,5 @@
-//! Leases of the configuration to entries. Without one an entry takes no new work,
-//! so an entry that is cut off cannot act on an older configuration for long.
+//! Configuration leases for entries. An entry without a lease accepts no new requests, so a
+//! partitioned entry cannot act on an outdated configuration for long.
 
 use super::Control;
 use crate::clock::ms;
@@ -11,12 +11,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long an entry may act on a configuration after it asked.
+/// How long an entry may act on a configuration after it requested the lease.
 pub(crate) const LEASE_DURATION: Duration = Duration::from_secs(3);
-/// Entries sent in one grant at most; past that a snapshot goes.
+/// Maximum number of log entries in one grant; beyond it a snapshot is sent.
 const MAX_DELTA: usize = 256;
 
-/// One entry's lease as the leader knows it.
+/// The leader's view of an entry's lease.
 struct Holder {
     inbox: SocketAddr,
     expires_at: Duration,
@@ -24,7 +24,7 @@
     leaving: bool,
 }
 
-/// All leases that this leader granted.
+/// Leases that this leader granted.
 #[derive(Default)]
 pub(crate) struct Leases {
     holders: IndexMap<String, Holder>,
@@ -33,14 +33,15 @@
 }
 
 impl Leases {
-    /// A new leader: leases of an earlier one are unknown and may hold for a while.
+    /// Starts as a new leader: leases granted by an earlier leader are unknown and may still be
+    /// valid for a while.
     pub(crate) fn start(&mut self, now: Duration) {
         self.holders.clear();
         self.allocator = RateAllocator::default();
         self.started_at = now;
     }
 
-    /// Every entry acts on `revision` or later, or on nothing.
+    /// Whether every entry acts on `revision` or later, or holds no lease.
     pub(crate) fn in_force(&self, now: Duration, revision: u64) -> bool {
         let reached = |h: &Holder| h.acked >= revision || h.expires_at <= now;
         now >= self.started_at + LEASE_DURATION && self.holders.values().all(reached)
@@ -52,7 +53,7 @@
             .map(|(id, h)| (id, h.expires_at, h.acked, h.leaving))
     }
 
-    /// Entries that callers should not be sent to.
+    /// Returns the entries that callers should not be directed to.
     fn unavailable(&self, now: Duration, entries: impl Iterator<Item = String>) -> Vec<String> {
         if now < self.started_at + LEASE_DURATION {
             return Vec::new();
@@ -71,8 +72,8 @@
         let refusal = match () {
             () if !self.replica.holds_lease(now) => "not a leader under lease",
             () if !self.state.entries.contains_key(from) => "unknown entry: create it first",
-            // It has applied what this leader has not committed: it follows another
-            // log, or this leader is the old one. Granting would revert it.
+            // The entry has applied what this leader has not committed: it follows another log, or
+            // this leader is outdated. A grant would revert its configuration.
             () if request.revision > self.replica.commit() => "ahead of this leader",
             () => "",
         };
@@ -105,8 +106,8 @@
         self.grant(now, inbox, request.revision, request.sent_ms, rate_shares);
     }
 
-    /// Sends every holder what it lacks; the lease itself is not lengthened, since
-    /// a grant counts from the entry's own asking.
+    /// Sends every holder the changes that it lacks. This does not extend the lease, which counts
+    /// from the time of the entry's own request.
     pub(super) fn push_revision(&mut self) {
         let now = self.now();
         let targets: Vec<_> = self
@@ -125,9 +126,9 @@
         self.replica.members().get(leader)?.address.parse().ok()
     }
 
-    /// This entry's parts of the rates of the accounts it has demand for. Parts that
-    /// an earlier leader gave are unknown and hold for a lease: until they have lapsed
-    /// nothing is given, or the sum could pass an account's rate.
+    /// Returns this entry's shares of the rates of the accounts for which it has demand. Shares
+    /// granted by an earlier leader are unknown and valid for one lease duration: until they have
+    /// expired no share is granted, or the sum could exceed an account's rate.
     fn rate_shares(&mut self, now: Duration, entry: &str, request: &LeaseAsk) -> Vec<AccountRate> {
         if now < self.leases.started_at + LEASE_DURATION {
             return Vec::new();
--- a/crates/node/src/control/members.rs
+++ b/crates/node/src/control/members.rs
@@ -1,12 +1,12 @@
-//! Keeping the log's group at what operators want, one change at a time.
+//! Reconciles the members of the log with the configured ones, one change at a time.
 
 use super::Control;
 use bn_query::Table;
 
 impl Control {
-    /// Makes the next change towards the wanted members, if one is due. A member
-    /// that came back with an empty folder is removed and joins anew as a learner:
-    /// as the old voter it could forget what it had acknowledged.
+    /// Makes the next change towards the desired members, if one is needed. A member that restarted
+    /// with an empty data directory is removed and joins again as a learner: as the old voter it
+    /// could lose entries that it had acknowledged.
     pub(super) fn reconcile_members(&mut self) {
         let desired = &self.state.members;
         if desired.is_empty() {
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -1,5 +1,5 @@
-//! The control role: the replicated log, the settled configuration it means, and
-//! leases of it to entries. One thread owns all of this.
+//! The control role: the replicated log, the configuration that it defines, and configuration
+//! leases for entries. One thread owns all of this state.
 
 mod groups;
 pub(crate) mod lease;
@@ -23,43 +23,43 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest wait for an event.
+/// Maximum wait for an event.
 const TICK: Duration = Duration::from_millis(10);
-/// Events taken before one write: group commit.
+/// Maximum number of events handled before one write (group commit).
 const MAX_BATCH: usize = 512;
-/// Entries after which a snapshot replaces the log.
+/// Number of log entries after which a snapshot replaces them.
 const SNAPSHOT_ENTRIES: u64 = 1000;
 
-/// What the control thread is told.
+/// Events handled by the control thread.
 pub(crate) enum Event {
-    /// A message of another process.
+    /// A message from another process.
     Message(Box<Envelope>),
-    /// Begin a graceful stop.
+    /// Start a graceful shutdown.
     Stop,
 }
 
-/// The control role's state.
+/// State of the control role.
 pub(crate) struct Control {
     common: Common,
     replica: Replica,
     store: Store,
     state: State,
-    /// Index of the last entry applied, of whatever kind.
+    /// Index of the last applied entry of any kind.
     applied: u64,
-    /// The first command, for a system that has none yet.
+    /// Initial command for a system without any.
     seed: Option<Command>,
     leases: lease::Leases,
     proposals: propose::Proposals,
     groups: groups::Groups,
-    /// Steps that groups may run ahead of their slowest rank.
+    /// Number of steps that groups may run ahead of their slowest rank.
     grant_steps: u64,
-    /// Where each process was last heard from.
+    /// Latest inbox of each process.
     inboxes: HashMap<String, SocketAddr>,
     role: Role,
 }
 
 impl Control {
-    /// Opens the data folder and starts the replica from it.
+    /// Opens the data directory and starts the replica from it.
     pub(crate) fn open(common: Common, conf: &bn_conf::Control) -> Result<Control> {
         let (store, loaded) = Store::open(&conf.data, rand::random::<u64>() | 1, Disk::default())?;
         let detail = format!(
@@ -111,7 +111,7 @@
         })
     }
 
-    /// Runs until told to stop, or the disk fails.
+    /// Runs until it is stopped or the disk fails.
     pub(crate) fn run(mut self, channel: &Receiver<Event>) -> Result<()> {
         loop {
             match channel.recv_timeout(TICK) {
@@ -156,8 +156,8 @@
         }
     }
 
-    /// Stores, then sends, then applies, until nothing is left to do. A message that
-    /// left before the sync could acknowledge what a crash then forgets.
+    /// Stores, then sends, then applies the replica's output until there is none. A message sent
+    /// before the sync could acknowledge entries that a crash then loses.
     fn flush(&mut self) -> Result<()> {
         loop {
             let out = self.replica.take_output();
@@ -224,8 +224,8 @@
                     let outcome = self.state.apply(entry.index, &command.into());
                     self.complete_proposals(entry.index, &outcome);
                 }
-                // Every replica skips it alike.
-                Err(_) => log::error!("entry {} does not decode", entry.index),
+                // Every replica skips it in the same way.
+                Err(_) => log::error!("cannot decode log entry {}", entry.index),
             },
         }
     }
@@ -250,7 +250,7 @@
         Ok(())
     }
 
-    /// What a leader does with each turn.
+    /// Performs the leader's periodic duties and tracks role changes.
     fn run_leader(&mut self, now: Duration) {
         let role = self.replica.role();
         if role != self.role {
@@ -274,7 +274,7 @@
         }
     }
 
-    /// Proposes the first statements where no command was ever applied.
+    /// Proposes the initial statements if no command was ever applied.
     fn propose_seed(&mut self) {
         let unused = self.state.revision == 0 && self.applied == self.replica.last_index();
         if !unused {
@@ -322,7 +322,7 @@
         .context(DecodeSnafu { what: "state" })
 }
 
-/// Milliseconds of the clock, for tables.
+/// Milliseconds until `at`, for tables.
 fn remaining_ms(clock: &Clock, at: Duration) -> f64 {
     ms(at.saturating_sub(clock.now())) as f64
 }
--- a/crates/node/src/control/propose.rs
+++ b/crates/node/src/control/propose.rs
@@ -1,5 +1,5 @@
-//! Operators' commands at the leader: accepted once committed, in force once every
-//! lease holder acts on it.
+//! Operator commands at the leader: accepted when committed, in force when every lease holder acts
+//! on them.
 
 use super::{Control, remaining_ms};
 use bn_query::{Statement, Table, select};
@@ -10,17 +10,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A proposal whose outcome is open.
+/// A proposal without an outcome yet.
 struct PendingProposal {
-    /// Index in the log; then the revision it was accepted at.
+    /// Index in the log, then the revision at which it was accepted.
     index: u64,
     call: u64,
     inbox: SocketAddr,
     accepted: bool,
 }
 
-/// Proposals whose senders wait. A leader that steps down drops them: the sender
-/// asks again, and the number and token decide.
+/// Proposals whose senders wait for an outcome. A leader that steps down drops them: the sender
+/// retries, and the number and token determine the outcome.
 #[derive(Default)]
 pub(crate) struct Proposals(Vec<PendingProposal>);
 
@@ -97,7 +97,7 @@
         }
     }
 
-    /// The entry at `index` was applied with this outcome.
+    /// Completes the proposals of the entry at `index`, which was applied with this outcome.
     pub(super) fn complete_proposals(&mut self, index: u64, outcome: &bn_state::Result<u64>) {
         metrics::counter!("commands", "accepted" => outcome.is_ok().to_string()).increment(1);
         let matches = |p: &PendingProposal| p.index == index && !p.accepted;
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Answers the proposals that are in force by now.
+    /// Answers the proposals that are now in force.
     pub(super) fn answer_in_force(&mut self, now: Duration) {
         let (in_force, open): (Vec<_>, Vec<_>) = std::mem::take(&mut self.proposals.0)
             .into_iter()
@@ -161,7 +161,7 @@
         self.common.net.send(inbox, Body::Outcome(outcome));
     }
 
-    /// `show members` and `show leases`, which only the leader knows.
+    /// Answers `show members` and `show leases`, which only the leader knows.
     fn leader_query(&self, text: &str) -> Option<Result<String, String>> {
         let statements = bn_query::parse(text).ok()?;
         let [Statement::Show(show)] = &statements[..] else {
