--- a/crates/node/src/entry/admit.rs
+++ b/crates/node/src/entry/admit.rs
@@ -1,4 +1,4 @@
-//! Admission: who asks, for what, and whether this entry may take it now.
+//! Admission: which account requests which service, and whether this entry may accept it now.
 
 use super::Entry;
 use super::request::{Phase, Request};
@@ -7,9 +7,9 @@
 use bn_limit::default_share;
 use std::time::Duration;
 
-/// When a caller should try another entry.
+/// Delay after which a caller should try another entry.
 const OTHER_ENTRY_DELAY: Duration = Duration::from_millis(200);
-/// Requests held at most; more are refused at once.
+/// Maximum number of requests held; further ones are refused at once.
 const MAX_REQUESTS: usize = 8192;
 
 impl Entry {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The account, and whether the request may be repeated.
+    /// Returns the account and whether the request may be repeated.
     fn admit(&mut self, arrival: &Arrival) -> Result<(String, bool), Refusal> {
         let now = self.now();
         if !self.lease.valid(now) {
@@ -83,7 +83,7 @@
         Ok((name, repeatable))
     }
 
-    /// Ends a request without a (whole) answer, at once.
+    /// Ends a request at once, without a complete answer or without any.
     pub(super) fn refuse(&mut self, id: u64, refusal: Refusal) {
         let Some(request) = self.requests.remove(&id) else {
             return;
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Watches deadlines and callers that left.
+    /// Ends requests whose deadline has passed or whose caller has disconnected.
     pub(super) fn expire_requests(&mut self, now: Duration) {
         let expired = |r: &Request| now >= r.deadline || r.abandoned();
         let ids: Vec<_> = self
@@ -121,8 +121,8 @@
         }
     }
 
-    /// Addresses of the entries, best first, as JSON: the own failure domain, then
-    /// the others, in an order that differs by entry so that load spreads.
+    /// Returns the addresses of the entries as JSON, in order of preference: this failure domain
+    /// first, then the others, in an order that differs between entries to spread the load.
     pub(super) fn addresses(&mut self) -> String {
         let own = self.common.domain.clone();
         let mut rows: Vec<_> = self
--- a/crates/node/src/entry/agents.rs
+++ b/crates/node/src/entry/agents.rs
@@ -1,4 +1,4 @@
-//! Agents attached to this entry.
+//! The agents attached to this entry.
 
 use super::{Entry, Peer};
 use crate::clock::ms;
@@ -10,32 +10,32 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An agent that is silent for this long is taken for dead.
+/// Time without contact after which an agent is considered dead.
 const AGENT_TIMEOUT: Duration = Duration::from_secs(3);
-/// Up to so many entries, agents report to all of them.
+/// Number of entries up to which agents report to all of them.
 const ATTACH_ALL_LIMIT: usize = 8;
-/// Past that, to so many.
+/// Number of entries that an agent reports to above that limit.
 const ATTACH_COUNT: usize = 4;
-/// A backend server that is gone for this long is forgotten.
+/// Time without contact after which a backend server is removed.
 const EVICT_AFTER: Duration = Duration::from_secs(60);
 
-/// One agent as this entry knows it.
+/// This entry's view of an agent.
 pub(crate) struct Agent {
-    /// Id of the agent's process.
+    /// Id of the agent process.
     process: String,
     profile: Profile,
     pub(crate) inbox: SocketAddr,
     pub(crate) incarnation: u64,
-    /// The agent's clock in its latest message, and when that came here.
+    /// The agent's clock in its latest message, and the local time when that was received.
     clock_sample: (Duration, Duration),
     pub(crate) last_contact: Duration,
-    /// Its silence was acted on.
+    /// Whether the loss of contact has been handled.
     timed_out: bool,
 }
 
 impl Agent {
-    /// The agent's clock now, or somewhat earlier: the time the message took is
-    /// missing. So a start deadline in it is early rather than late.
+    /// Estimates the agent's clock now. The estimate is slightly behind, as it omits the message's
+    /// transit time, so a start deadline in the agent's clock is early rather than late.
     pub(crate) fn clock(&self, now: Duration) -> Duration {
         let (theirs, here) = self.clock_sample;
         theirs + now.saturating_sub(here)
@@ -83,7 +83,7 @@
         self.agents.insert(name, agent);
     }
 
-    /// The backend server of an agent that told its profile earlier in this start.
+    /// Returns the backend server of an agent that sent its profile earlier in this incarnation.
     fn known_profile(&self, from: &Peer) -> Option<String> {
         let same = |a: &Agent| a.process == from.id && a.incarnation == from.incarnation;
         self.agents
@@ -102,8 +102,8 @@
         self.common.net.send(from.inbox, Body::AgentLease(lease));
     }
 
-    /// An agent's lease ends with this entry's own: what the entry may no longer
-    /// act on, an agent must not act on either.
+    /// Grants the agent a lease that expires with this entry's own: an agent must not act on a
+    /// configuration that the entry may no longer act on.
     fn answer_attach(&mut self, now: Duration, inbox: SocketAddr, name: &str, attach: &Attach) {
         let left = self.lease.left(now);
         if left.is_zero() {
@@ -124,9 +124,9 @@
         self.common.net.send(inbox, Body::AgentLease(lease));
     }
 
-    /// The entries that an agent reports to, with the list's digest: all while they are
-    /// few, so that every entry sees every backend server; past that a few in different
-    /// failure domains. Kept until the entries change: choosing hashes each of them.
+    /// Returns the entries that an agent reports to and the digest of the list: all entries while
+    /// there are few, so that every entry sees every backend server; otherwise some in different
+    /// failure domains. Cached until the entries change, as the selection hashes each of them.
     fn entries_for(&mut self, name: &str) -> (Vec<String>, u32) {
         if let Some(cached) = self.attach_lists.get(name) {
             return cached.clone();
@@ -144,7 +144,7 @@
         cached
     }
 
-    /// Notices agents that fell silent, and forgets those gone for long.
+    /// Handles agents that have become silent and removes those silent for `EVICT_AFTER`.
     pub(super) fn expire_agents(&mut self, now: Duration) {
         let silent = |a: &Agent| !a.timed_out && now > a.last_contact + AGENT_TIMEOUT;
         let timed_out: Vec<_> = self
@@ -160,7 +160,7 @@
             self.fail_agent(&name, "the agent fell silent");
             if let Some(agent) = self.agents.get_mut(&name) {
                 agent.timed_out = true;
-                // What waits on the link would arrive minutes late.
+                // Messages queued on the link would arrive minutes late.
                 self.common.net.forget(agent.inbox);
             }
         }
@@ -182,7 +182,7 @@
     }
 }
 
-/// Digest of a list of entries, the same in every process.
+/// Computes the digest of a list of entries, the same in every process.
 pub(crate) fn digest_of(entries: &[String]) -> u32 {
     crc32c::crc32c(entries.join(" ").as_bytes())
 }
--- a/crates/node/src/entry/answers.rs
+++ b/crates/node/src/entry/answers.rs
@@ -1,5 +1,5 @@
-//! Answers on their way back. Attempt numbers and agent incarnations must match, so
-//! that a late answer never reaches another request.
+//! Forwards answers to callers. Attempt numbers and agent incarnations must match, so that a late
+//! answer never reaches another request.
 
 use super::{Entry, Peer};
 use crate::caller::AnswerPart;
@@ -32,8 +32,8 @@
             let reason = "a piece of the answer was lost";
             return self.fail_attempt(piece.attempt, Verdict::MayHaveRun, reason);
         }
-        // An answer that goes on elsewhere may meet an error there: its page behind the
-        // first half would close as a whole answer that nobody gave.
+        // An answer resumed at another backend server may fail there: the error page appended to
+        // the first part would complete an answer that no backend server gave.
         if request.head_sent && piece.status != request.status {
             let reason = "the answer went on with another status";
             return self.fail_attempt(piece.attempt, Verdict::MayHaveRun, reason);
@@ -60,8 +60,8 @@
             metrics::counter!("callers_gone").increment(1);
             let id = a.request;
             self.cancel_attempts(id);
-            // Dropping the request closes its ring: the connection breaks, and the
-            // caller cannot take what it has for a whole answer.
+            // Dropping the request closes its channel: the connection is aborted, so the caller
+            // cannot mistake the partial answer for a complete one.
             self.requests.remove(&id);
         }
     }
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Other entries filled the backend server since its last report. The request waits
-    /// for room again; it costs no retry, or a busy hour would use up the budget.
+    /// Queues the request again when other entries filled the backend server after its last report.
+    /// This costs no retry token: a period of high load would exhaust them.
     fn requeue(&mut self, attempt: u64) {
         let now = self.now();
         let Some(a) = self.attempts.remove(&attempt) else {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The agent says that it did not run it: no fault of the backend server's.
+    /// Retries a request that the agent did not run; the backend server is not at fault.
     fn on_rejected(&mut self, attempt: u64, reason: &str) {
         let now = self.now();
         let Some(a) = self.attempts.remove(&attempt) else {
--- a/crates/node/src/entry/claims.rs
+++ b/crates/node/src/entry/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of idempotency keys: this entry's own, and those it holds for others.
+//! Claims on idempotency keys: this entry's own and those that it holds for others.
 
 use super::request::Phase;
 use super::{Entry, Peer};
@@ -10,9 +10,9 @@
 use bn_wire::messages::{ClaimAnswer, ClaimAsk};
 use std::time::Duration;
 
-/// A claim is asked again after this time.
+/// Interval between claim requests to holders that have not answered.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// After this time a claim without a majority is given up.
+/// Time after which a claim without a majority is abandoned.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(1500);
 
 impl Entry {
@@ -37,7 +37,7 @@
         self.query_holders(id);
     }
 
-    /// The key with its account, so that accounts cannot collide.
+    /// Returns the key qualified by its account, so that keys of different accounts cannot collide.
     fn claim_key(&self, id: u64) -> Option<String> {
         let request = self.requests.get(&id)?;
         let key = request.arrival.idempotency.as_ref()?;
@@ -69,7 +69,7 @@
 
     pub(super) fn on_claim_request(&mut self, from: &Peer, request: &ClaimAsk) {
         let now = self.now();
-        // Without a lease the set of holders may have changed unseen.
+        // Without a lease, the set of holders may have changed without this entry's knowledge.
         if !self.lease.valid(now) {
             return;
         }
@@ -117,15 +117,15 @@
         }
     }
 
-    /// The request of this key may have run, through another chain of attempts.
+    /// Refuses a request whose key was not claimed: it may have run in another chain of attempts.
     fn reject_claim(&mut self, id: u64, status: u16, reason: &str) {
         self.claims.remove(&id);
         metrics::counter!("claims_lost").increment(1);
         self.refuse(id, Refusal::may_have_run(status, reason));
     }
 
-    /// Claims and answers may be lost; asking again is harmless, since a holder
-    /// grants the same chain the same key.
+    /// Repeats claim requests, as requests and answers may be lost. This is idempotent: a holder
+    /// grants the same key to the same chain again.
     pub(super) fn retry_claims(&mut self, now: Duration) {
         let ids: Vec<_> = self.claims.keys().copied().collect();
         for id in ids {
--- a/crates/node/src/entry/dispatch.rs
+++ b/crates/node/src/entry/dispatch.rs
@@ -1,4 +1,4 @@
-//! Placing requests on backend servers, and what follows a failed attempt.
+//! Dispatches requests to backend servers and handles failed attempts.
 
 use super::Entry;
 use super::request::{Attempt, Phase};
@@ -12,19 +12,19 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// An agent must start a request within this time, by its own clock.
+/// Time within which an agent must start a request, by its own clock.
 const START_TIMEOUT: Duration = Duration::from_millis(500);
-/// After the last possible start, an answer may still take this long on its way.
+/// Time allowed for an answer in transit after the latest possible start.
 const START_REPORT_GRACE: Duration = Duration::from_millis(1000);
-/// Requests that may wait for room.
+/// Maximum number of requests queued for capacity.
 const MAX_QUEUED: usize = 2048;
-/// When to come back after a refusal for want of room.
+/// Retry delay after a refusal for lack of capacity.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 impl Entry {
-    /// Tries to dispatch a request; queues it where no backend server has room.
+    /// Tries to dispatch a request; queues it if no backend server has capacity.
     pub(super) fn dispatch_or_queue(&mut self, id: u64) {
-        let Some(needs) = self.requirements(id) else {
+        let Some(needs) = self.needs(id) else {
             return;
         };
         let waits = self
@@ -32,13 +32,13 @@
             .get(&needs.service)
             .is_some_and(|q| !q.is_empty());
         let urgent = needs.urgent;
-        // Others wait already: going past them would be unfair, unless it is urgent.
+        // Bypassing requests that are already queued would be unfair, unless this one is urgent.
         if (waits && !urgent) || !self.try_dispatch(id, &needs) {
             self.enqueue(id, &needs);
         }
     }
 
-    fn requirements(&self, id: u64) -> Option<Requirements> {
+    fn needs(&self, id: u64) -> Option<Requirements> {
         let request = self.requests.get(&id)?;
         Some(Requirements {
             service: request.arrival.service.clone(),
@@ -107,12 +107,12 @@
         self.refuse(id, refusal);
     }
 
-    /// The final answer to a request that will not be tried (again).
+    /// Sends the final answer to a request that will not be tried, or not again.
     pub(super) fn give_up(&mut self, id: u64, status: u16, reason: &str) {
         self.give_up_with_retry(id, status, reason, RETRY_DELAY);
     }
 
-    /// Starts waiting requests while there is room: urgent first, then by fair share.
+    /// Starts queued requests while there is capacity: urgent first, then by fair share.
     pub(super) fn serve_queues(&mut self, now: Duration) {
         let services: Vec<String> = self.queues.keys().cloned().collect();
         for service in services {
@@ -125,9 +125,8 @@
         }
     }
 
-    /// Takes out requests that do not wait here any more: their deadline passed, the
-    /// caller left, or they run already. One that stayed in line while it runs would be
-    /// dispatched a second time.
+    /// Removes requests that are no longer waiting: their deadline passed, the caller disconnected,
+    /// or they are running. One that stayed in the queue while running would be dispatched twice.
     fn drop_not_queued(&mut self, service: &str) {
         let requests = &self.requests;
         if let Some(queue) = self.queues.get_mut(service) {
@@ -142,9 +141,9 @@
 
     fn start_next(&mut self, service: &str) -> Option<u64> {
         let order = self.queues.get(service)?.start_order();
-        // What the first in line has tried already may still have room for others.
+        // A backend server that the first request has already tried may have capacity for others.
         order.into_iter().find(|id| {
-            self.requirements(*id)
+            self.needs(*id)
                 .is_some_and(|needs| self.try_dispatch(*id, &needs))
         })
     }
@@ -188,15 +187,15 @@
             self.attempts.insert(attempt, record);
             self.router.record_sent(now, backend, attempt, prefix);
         } else {
-            // Nothing was queued, so nothing can arrive: the same claim may try on.
+            // Nothing was queued, so nothing can arrive: another attempt of this claim is safe.
             self.router.record_sent(now, backend, attempt, None);
             self.router.record_end(now, backend, attempt, Some(false));
             self.retry_or_fail(id, Verdict::NotRun, "the agent's link takes nothing");
         }
     }
 
-    /// After an attempt failed: another one where the verdict allows it and the
-    /// retry budget has one left; otherwise the final answer.
+    /// Starts another attempt after a failed one if the verdict allows it and a retry token is
+    /// available; otherwise sends the final answer.
     pub(super) fn retry_or_fail(&mut self, id: u64, verdict: Verdict, reason: &str) {
         let now = self.now();
         let Some(request) = self.requests.get_mut(&id) else {
@@ -215,7 +214,7 @@
         self.dispatch_or_queue(id);
     }
 
-    /// Tells the agents that nobody waits for this request any more.
+    /// Notifies the agents that the answer to this request is no longer needed.
     pub(super) fn cancel_attempts(&mut self, id: u64) {
         let now = self.now();
         let belongs = |a: &Attempt| a.request == id;
@@ -238,8 +237,8 @@
         }
     }
 
-    /// Fails attempts that got no sign of a start in time. Whether the backend
-    /// server was asked is not known then.
+    /// Fails attempts whose start was not confirmed in time. It is then unknown whether the backend
+    /// server received the request.
     pub(super) fn expire_attempts(&mut self, now: Duration) {
         let late = |a: &Attempt| !a.started && now > a.start_by + START_REPORT_GRACE;
         let ids: Vec<_> = self
@@ -253,7 +252,7 @@
         }
     }
 
-    /// Ends an attempt as failed and goes on with its request.
+    /// Ends an attempt as failed and retries or fails its request.
     pub(super) fn fail_attempt(&mut self, attempt: u64, verdict: Verdict, reason: &str) {
         let now = self.now();
         let Some(a) = self.attempts.remove(&attempt) else {
--- a/crates/node/src/entry/lease.rs
+++ b/crates/node/src/entry/lease.rs
@@ -1,4 +1,4 @@
-//! This entry's lease of the settled configuration.
+//! This entry's configuration lease.
 
 use super::Entry;
 use crate::clock::{ms, unix_time};
@@ -11,28 +11,28 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Between two askings while the leader answers.
+/// Interval between lease requests while the leader answers.
 const RENEW_EVERY: Duration = Duration::from_secs(1);
-/// Between two askings while it does not.
+/// Interval between lease requests while it does not.
 const SEARCH_EVERY: Duration = Duration::from_millis(200);
 
-/// What an entry knows of its lease.
+/// State of an entry's lease.
 pub(crate) struct Lease {
     control: Vec<SocketAddr>,
     leader: Option<SocketAddr>,
-    /// Which control process to ask while no leader is known.
+    /// Index of the control process to try while no leader is known.
     next_control: usize,
     until: Duration,
     renew_at: Duration,
-    /// The last grant came then.
+    /// Time of the latest grant.
     granted_at: Duration,
-    /// The leader's fencing number.
+    /// Fencing token of the leader.
     pub(crate) fence: u64,
-    /// Entries that callers should not be sent to.
+    /// Entries that callers should not be directed to.
     pub(crate) unavailable: Vec<String>,
     was_valid: bool,
     demand_at: Duration,
-    /// `sent_ms` of the latest grant acted on.
+    /// `sent_ms` of the latest grant applied.
     applied_ms: u64,
 }
 
@@ -57,18 +57,18 @@
         now < self.until
     }
 
-    /// Time left.
+    /// Returns the remaining validity.
     pub(crate) fn left(&self, now: Duration) -> Duration {
         self.until.saturating_sub(now)
     }
 
-    /// The leader, or the next control process to try.
+    /// Returns the leader, or the next control process to try.
     pub(crate) fn target(&self) -> Option<SocketAddr> {
         let next = self.next_control % self.control.len().max(1);
         self.leader.or_else(|| self.control.get(next).copied())
     }
 
-    /// The leader's inbox, empty where none is known.
+    /// Returns the leader's inbox, or an empty string if no leader is known.
     pub(crate) fn leader_inbox(&self) -> String {
         self.leader.map(|a| a.to_string()).unwrap_or_default()
     }
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Demand goes out with the renewals only: a look too soon would say little.
+    /// Returns the demand, sent only with renewals: a shorter interval would yield a poor estimate.
     fn demand(&mut self, now: Duration) -> Vec<AccountRate> {
         if now < self.lease.demand_at {
             return Vec::new();
@@ -140,7 +140,7 @@
             self.lease.renew_at = self.lease.renew_at.min(now + SEARCH_EVERY);
             return;
         }
-        // An old leader's grant must not pull the configuration back.
+        // A grant from an old leader must not revert the configuration.
         if grant.fence < self.lease.fence {
             return;
         }
@@ -165,12 +165,12 @@
         }
         if self.state.revision != before {
             self.on_configuration_change();
-            // The leader counts a change as in force once every holder said so.
+            // The leader considers a change in force once every holder has confirmed it.
             self.request_lease(now);
         }
     }
 
-    /// Brings the configuration to `revision`; `false` where something is missing.
+    /// Updates the configuration to `revision`; returns `false` if changes are missing.
     fn apply_configuration(
         &mut self,
         snapshot: Option<wire::State>,
@@ -190,7 +190,7 @@
                 continue;
             };
             if entry.index > self.state.revision {
-                // A refused command is refused here alike; the leader has answered.
+                // A refused command is refused in the same way here; the leader has answered it.
                 let _ = self.state.apply(entry.index, &Command::from(command));
             }
         }
--- a/crates/node/src/entry/mod.rs
+++ b/crates/node/src/entry/mod.rs
@@ -1,5 +1,5 @@
-//! The entry role: admits callers' requests, routes them, streams answers back. One
-//! thread owns all of this and never blocks.
+//! The entry role: admits callers' requests, routes them and streams the answers back. One thread
+//! owns all of this state and never blocks.
 
 mod admit;
 mod agents;
@@ -33,20 +33,20 @@
 use tokio::sync::oneshot;
 
 const TICK: Duration = Duration::from_millis(10);
-/// Events taken between two looks at the clock.
+/// Maximum number of events handled between two reads of the clock.
 const MAX_BATCH: usize = 256;
 
-/// What the entry thread is told.
+/// Events handled by the entry thread.
 pub(crate) enum Event {
     /// A caller's request.
     Arrival(Box<Arrival>),
-    /// A caller asks for addresses; the answer is JSON.
+    /// A caller's request for addresses, answered as JSON.
     Addresses(oneshot::Sender<String>),
-    /// A message of another process.
+    /// A message from another process.
     Message(Box<Envelope>),
-    /// An operator's command.
+    /// A command of an operator.
     Command(operators::Call),
-    /// Begin a graceful stop.
+    /// Start a graceful shutdown.
     Stop,
 }
 
@@ -55,7 +55,7 @@
 /// Number of an attempt at this entry.
 pub(crate) type AttemptId = u64;
 
-/// The entry role's state.
+/// State of the entry role.
 pub(crate) struct Entry {
     common: Common,
     conf: Conf,
@@ -64,20 +64,20 @@
     router: Router,
     retry_tokens: RetryTokens,
     agents: IndexMap<String, agents::Agent>,
-    /// For each backend server the entries its agent reports to, and their digest.
+    /// Entries that the agent of each backend server reports to, with their digest.
     attach_lists: HashMap<String, (Vec<String>, u32)>,
     requests: HashMap<RequestId, request::Request>,
     attempts: HashMap<AttemptId, request::Attempt>,
-    /// Requests that wait for room, by service.
+    /// Requests waiting for capacity, by service.
     queues: IndexMap<String, Queue>,
     buckets: TokenBuckets,
     claims: HashMap<u64, RequestId>,
     holder: Holder,
     calls: HashMap<u64, operators::OpenCall>,
-    /// Numbers requests, attempts, claims and calls alike.
+    /// Last id assigned; requests, attempts, claims and calls share one sequence.
     last_id: u64,
     rng: SmallRng,
-    /// A graceful stop began then.
+    /// Start time of the graceful shutdown.
     stopping: Option<Duration>,
 }
 
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Runs until a graceful stop is complete.
+    /// Runs until a graceful shutdown is complete.
     pub(crate) fn run(mut self, channel: &Receiver<Event>) -> Result<()> {
         let mut due = Duration::ZERO;
         loop {
@@ -202,16 +202,16 @@
         }
     }
 
-    /// Callers may keep an address for the time to live. The other entries hear of the
-    /// leaving within a lease, or two where the leader that knew of it is replaced; so
-    /// long they may still hand it out, and only then may the last request be the last.
+    /// Whether the entry may stop. Callers may cache an address for its time to live. Other entries
+    /// learn of the shutdown within one lease duration, or two if the leader that knew of it is
+    /// replaced; until then they may still hand out the address, so new requests may arrive.
     fn may_stop(&self, now: Duration) -> bool {
         let address_lifetime = crate::control::lease::LEASE_DURATION * 2 + self.conf.ttl;
         self.stopping.is_some_and(|at| now > at + address_lifetime) && self.requests.is_empty()
     }
 }
 
-/// Who sent a message.
+/// Sender of a message.
 pub(crate) struct Peer {
     id: String,
     incarnation: u64,
--- a/crates/node/src/entry/operators.rs
+++ b/crates/node/src/entry/operators.rs
@@ -1,5 +1,5 @@
-//! Operators at this entry: queries are answered from its own view, commands go to
-//! the leader and are asked again until their outcome is known.
+//! Operator commands at this entry: queries are answered from its own state; commands are sent to
+//! the leader and retried until their outcome is known.
 
 use super::{Entry, Event};
 use crate::pages::{Handler, error};
@@ -11,27 +11,27 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// A page waits this long for a command's outcome.
+/// Time that the command endpoint waits for an outcome.
 const TIMEOUT: Duration = Duration::from_secs(8);
-/// A proposal without an outcome is sent again.
+/// Interval after which a proposal without an outcome is sent again.
 const RESEND_INTERVAL: Duration = Duration::from_millis(500);
-/// Tables that only the leader can fill.
+/// Tables that only the leader can provide.
 const LEADER_TABLES: [&str; 2] = ["members", "leases"];
 
-/// An operator's command, and where its outcome goes, as JSON.
+/// An operator's command and the channel for its outcome: status and JSON.
 pub(crate) struct Call {
     command: Command,
     answer: Sender<(u16, String)>,
 }
 
-/// A call that waits for the leader.
+/// A call that waits for an answer from the leader.
 pub(crate) struct OpenCall {
     call: Call,
     due: Duration,
     until: Duration,
 }
 
-/// The page that takes commands: `POST /v1/command`.
+/// Handler of the command endpoint, `POST /v1/command`.
 pub(crate) fn command_page(channel: Sender<Event>) -> Handler {
     Box::new(move |method, path, body| {
         if (method, path) != ("POST", "/v1/command") {
@@ -98,8 +98,8 @@
         self.retry_calls(now);
     }
 
-    /// Sends open calls to whoever leads now. The number and token make a second
-    /// arrival harmless.
+    /// Sends open calls to the current leader. The number and token of a command make repeated
+    /// delivery idempotent.
     pub(super) fn retry_calls(&mut self, now: Duration) {
         self.calls.retain(|_, open| now < open.until);
         let Some(target) = self.lease.target() else {
@@ -155,7 +155,7 @@
         }
     }
 
-    /// This entry's own lease: the leader may count one whose grant is still on its way.
+    /// This entry's own lease, which the leader may list while the grant is still in transit.
     fn lease_table(&self) -> Table {
         let now = self.now();
         let mut t = Table::new(&["entry", "held", "left_ms", "revision", "fence"]);
@@ -220,7 +220,7 @@
     }
 }
 
-/// A table as JSON: column names, and rows of values.
+/// Formats a table as JSON: column names and rows of values.
 pub(crate) fn table_json(table: &Table) -> String {
     let cell = |c: &Cell| match c {
         Cell::Text(t) => json!(t),
--- a/crates/node/src/entry/request.rs
+++ b/crates/node/src/entry/request.rs
@@ -1,18 +1,18 @@
-//! A request and its attempts, as the entry holds them.
+//! Requests and their attempts, as stored by the entry.
 
 use super::RequestId;
 use crate::caller::{AnswerPart, Arrival};
 use bn_claim::PendingClaim;
 use std::time::Duration;
 
-/// Where a request stands.
+/// Phase of a request.
 #[derive(Debug)]
 pub(crate) enum Phase {
-    /// Its key is being claimed.
+    /// Its idempotency key is being claimed.
     Claiming(PendingClaim, Duration),
-    /// Waits for a backend server with room.
+    /// It waits for a backend server with capacity.
     Queued,
-    /// An attempt is under way.
+    /// An attempt is in progress.
     Running,
 }
 
@@ -24,41 +24,41 @@
     pub(crate) phase: Phase,
     pub(crate) arrived: Duration,
     pub(crate) deadline: Duration,
-    /// Backend servers tried.
+    /// Backend servers already tried.
     pub(crate) tried: Vec<String>,
-    /// It may be run again after an attempt that may have run.
+    /// Whether it may be run again after an attempt that may have run.
     pub(crate) repeatable: bool,
-    /// An attempt may have run, or still may.
+    /// Whether an attempt may have run, or may still run.
     pub(crate) may_have_run: bool,
-    /// The head of the answer went to the caller.
+    /// Whether the head of the answer was sent to the caller.
     pub(crate) head_sent: bool,
     /// Status in that head.
     pub(crate) status: u32,
-    /// Bytes of the answer that went to the caller.
+    /// Number of answer bytes sent to the caller.
     pub(crate) sent: u64,
 }
 
 impl Request {
-    /// Hands a part of the answer to the caller's thread; `false`: the caller is
-    /// gone, or so slow that its ring is full.
+    /// Passes a part of the answer to the caller's thread. Returns `false` if the caller has
+    /// disconnected, or is so slow that its channel is full.
     pub(crate) fn send(&self, answer: AnswerPart) -> bool {
         self.arrival.answer.try_send(answer).is_ok()
     }
 
-    /// The caller closed its connection.
+    /// Whether the caller has closed its connection.
     pub(crate) fn abandoned(&self) -> bool {
         self.arrival.answer.is_closed()
     }
 }
 
-/// One try at one backend server.
+/// An attempt to run a request at a backend server.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     pub(crate) request: RequestId,
     pub(crate) backend: String,
-    /// Incarnation of the agent it was sent to; only its messages count.
+    /// Incarnation of the agent that it was sent to; messages from others are ignored.
     pub(crate) incarnation: u64,
-    /// No later start is possible.
+    /// Latest possible start.
     pub(crate) start_by: Duration,
     pub(crate) started: bool,
 }
