--- a/crates/node/src/agent/mod.rs
+++ b/crates/node/src/agent/mod.rs
@@ -129,7 +129,7 @@
             for event in channel.try_iter().take(MAX_BATCH) {
                 self.handle(event);
             }
-            // Entries switch to other backend servers at once, and back when this one accepts again.
+            // Entries switch to others at once, and back when this backend server accepts again.
             let open = self.accepts_requests(self.now());
             let changed = std::mem::replace(&mut self.reported_open, open) != open;
             self.report(changed);
