--- a/crates/node/src/agent/mod.rs
+++ b/crates/node/src/agent/mod.rs
@@ -285,9 +285,7 @@
         let Some(engine) = self.backend.as_ref().map(|b| b.address) else {
             return;
         };
-        let Some(order) = from_wire(raw) else {
-            return;
-        };
+        let Some(order) = from_wire(raw) else { return };
         if let Err(refusal) = self.rank.admit(&order) {
             metrics::counter!("orders_refused").increment(1);
             return log::warn!("order to the engine refused: {refusal}");
--- a/crates/node/src/entry/dispatch.rs
+++ b/crates/node/src/entry/dispatch.rs
@@ -24,16 +24,14 @@
 impl Entry {
     /// Tries to dispatch a request; queues it if no backend server has capacity.
     pub(super) fn dispatch_or_queue(&mut self, id: u64) {
-        let Some(needs) = self.needs(id) else {
-            return;
-        };
-        let waits = self
+        let Some(needs) = self.needs(id) else { return };
+        let others_wait = self
             .queues
             .get(&needs.service)
             .is_some_and(|q| !q.is_empty());
         let urgent = needs.urgent;
         // Bypassing requests that are already queued would be unfair, unless this one is urgent.
-        if (waits && !urgent) || !self.try_dispatch(id, &needs) {
+        if (others_wait && !urgent) || !self.try_dispatch(id, &needs) {
             self.enqueue(id, &needs);
         }
     }
