--- a/crates/node/src/control/lease.rs
+++ b/crates/node/src/control/lease.rs
@@ -33,8 +33,7 @@
 }
 
 impl Leases {
-    /// Starts as a new leader: leases granted by an earlier leader are unknown and may still be
-    /// valid for a while.
+    /// Starts a new leader: leases of an earlier one are unknown and may be valid for a while.
     pub(crate) fn start(&mut self, now: Duration) {
         self.holders.clear();
         self.allocator = RateAllocator::default();
--- a/crates/node/src/entry/agents.rs
+++ b/crates/node/src/entry/agents.rs
@@ -125,7 +125,7 @@
     }
 
     /// Returns the entries that an agent reports to and the digest of the list: all entries while
-    /// there are few, so that every entry sees every backend server; otherwise some in different
+    /// there are few, so that every entry sees every backend server; otherwise a few in different
     /// failure domains. Cached until the entries change, as the selection hashes each of them.
     fn entries_for(&mut self, name: &str) -> (Vec<String>, u32) {
         if let Some(cached) = self.attach_lists.get(name) {
