--- a/crates/node/src/caller.rs
+++ b/crates/node/src/caller.rs
@@ -265,12 +265,12 @@
     ms.map(|d| d.min(MAX_DEADLINE)).ok_or_else(invalid)
 }
 
-async fn checked_body(body: Incoming, most: usize) -> Result<Vec<u8>, Refusal> {
-    let whole = read_body(body, most, ConnectionLimits::default().body_timeout).await;
-    whole.map(|b| b.to_vec()).map_err(|fault| match fault {
+async fn checked_body(body: Incoming, max_bytes: usize) -> Result<Vec<u8>, Refusal> {
+    let result = read_body(body, max_bytes, ConnectionLimits::default().body_timeout).await;
+    result.map(|b| b.to_vec()).map_err(|error| match error {
         BodyError::TimedOut => Refusal::not_run(408, "the body came too slowly"),
         BodyError::TooLarge => {
-            Refusal::not_run(413, format!("the body is larger than {most} bytes"))
+            Refusal::not_run(413, format!("the body is larger than {max_bytes} bytes"))
         }
         BodyError::Broken => Refusal::not_run(400, "the body broke off"),
     })
--- a/crates/node/src/pages.rs
+++ b/crates/node/src/pages.rs
@@ -12,7 +12,7 @@
 use tokio_rustls::TlsAcceptor;
 
 /// Maximum size of a request body, in bytes.
-const LARGEST_BODY: usize = 1 << 20;
+const MAX_BODY_BYTES: usize = 1 << 20;
 const JSON: &str = "application/json";
 const PLAIN: &str = "text/plain";
 
@@ -78,7 +78,7 @@
     let method = request.method().to_string();
     let path = request.uri().path().to_string();
     let time = ConnectionLimits::default().body_timeout;
-    let Ok(body) = read_body(request.into_body(), LARGEST_BODY, time).await else {
+    let Ok(body) = read_body(request.into_body(), MAX_BODY_BYTES, time).await else {
         return text(
             413,
             JSON,
