--- a/crates/node/src/agent/orders.rs
+++ b/crates/node/src/agent/orders.rs
@@ -1,5 +1,5 @@
-//! Orders to the engine, on a thread of their own: the agent's thread must not wait
-//! for an engine that loads weights or stands still.
+//! Sends orders to the engine on a separate thread: the agent's thread must not block on an engine
+//! that is loading weights or has stalled.
 
 use crate::http_client;
 use bn_group::{Order, OrderKind};
@@ -11,28 +11,28 @@
 use std::thread;
 use std::time::Duration;
 
-/// Orders that wait; past that they are dropped, and come again with a later report.
-const RING: usize = 32;
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Maximum number of queued orders; further ones are dropped and sent again after a later report.
+const QUEUE_CAPACITY: usize = 32;
+const ENGINE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An order on its way to an engine.
-pub(crate) struct Errand {
+/// An order and the engine that it is sent to.
+pub(crate) struct EngineCommand {
     pub(crate) engine: SocketAddr,
     pub(crate) order: Order,
 }
 
-/// Starts the thread; orders go in at the ring that it returns.
-pub(crate) fn start(events: Arc<Events>) -> Sender<Errand> {
-    let (tx, rx) = bounded(RING);
-    thread::spawn(move || carry(&rx, &events));
+/// Starts the thread and returns the channel for orders.
+pub(crate) fn start(events: Arc<Events>) -> Sender<EngineCommand> {
+    let (tx, rx) = bounded(QUEUE_CAPACITY);
+    thread::spawn(move || send_commands(&rx, &events));
     tx
 }
 
-fn carry(ring: &Receiver<Errand>, events: &Events) {
-    for errand in ring {
-        let (path, body) = request(&errand.order);
-        let url = format!("http://{}/orders/{path}", errand.engine);
-        let sent = http_client::once(PATIENCE)
+fn send_commands(channel: &Receiver<EngineCommand>, events: &Events) {
+    for command in channel {
+        let (path, body) = encode(&command.order);
+        let url = format!("http://{}/orders/{path}", command.engine);
+        let sent = http_client::once(ENGINE_TIMEOUT)
             .post(&url)
             .send(body.to_string());
         match sent.map(|r| r.status().as_u16()) {
@@ -40,13 +40,13 @@
             Ok(status) => events.note("order", format!("{path} refused by the engine: {status}")),
             Err(e) => {
                 metrics::counter!("orders_failed").increment(1);
-                log::debug!("{path}: {e}");
+                log::debug!("cannot send {path} order to the engine: {e}");
             }
         }
     }
 }
 
-fn request(order: &Order) -> (&'static str, serde_json::Value) {
+fn encode(order: &Order) -> (&'static str, serde_json::Value) {
     match &order.kind {
         OrderKind::Prepare { version, map } => (
             "prepare",
