--- a/crates/cli/tests/answers.rs
+++ b/crates/cli/tests/answers.rs
@@ -4,9 +4,8 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
 #[allow(dead_code)]
-mod bed;
+mod testbed;
 
-use bed::{Ask, Fate, Size, System, rows, send};
 use bn_net::Net;
 use bn_wire::messages::envelope::Body;
 use bn_wire::messages::finish::Kind;
@@ -17,6 +16,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
+use testbed::{CallOutcome, Request, System, SystemSpec, send, wait_for_rows};
 
 const TOKENS: usize = 4;
 const WITHIN: Duration = Duration::from_secs(10);
@@ -231,9 +231,9 @@
     }
 }
 
-fn ask(system: &System, service: &str) -> Ask {
-    Ask {
-        entry: system.callers("e1"),
+fn request(system: &System, service: &str) -> Request {
+    Request {
+        entry: system.caller_address("e1"),
         service: service.into(),
         prompt: "q".into(),
         key: None,
@@ -248,31 +248,31 @@
 /// incarnations or the end marker are not checked.
 #[gtest]
 fn a_caller_gets_its_whole_answer_or_can_tell() {
-    let mut system = System::new(Size {
+    let mut system = System::new(SystemSpec {
         entries: 1,
         control: 1,
-        ..Size::default()
+        ..SystemSpec::default()
     });
     system.start("e1");
-    let entry: SocketAddr = system.inbox("e1").parse().unwrap();
+    let entry: SocketAddr = system.inbox_address("e1").parse().unwrap();
     for (i, (what, script, fate)) in CASES.into_iter().enumerate() {
         let name = format!("s{i}");
-        let address = system.spare(i).parse().unwrap();
+        let address = system.unused_address(i).parse().unwrap();
         let agent = Scripted::start(&name, &name, address, entry, script);
-        rows(&system, "e1", "show entries", 1, WITHIN).unwrap();
-        bed::command(&system, "e1", &format!("create service {name} engine=true")).unwrap();
+        wait_for_rows(&system, "e1", "show entries", 1, WITHIN).unwrap();
+        testbed::command(&system, "e1", &format!("create service {name} engine=true")).unwrap();
         let serving = format!("show backends where backend = {name} and state = serving");
-        rows(&system, "e1", &serving, 1, WITHIN).unwrap();
+        wait_for_rows(&system, "e1", &serving, 1, WITHIN).unwrap();
 
-        let got = send(&ask(&system, &name));
+        let got = send(&request(&system, &name));
 
         agent.stop.store(true, Ordering::Relaxed);
         let name = match &got {
-            Fate::Whole => "whole",
-            Fate::Wrong(_) => "wrong",
-            Fate::NotRun(_) => "not-run",
-            Fate::MayHaveRun(_) => "may-have-run",
-            Fate::Cut(_) => "cut",
+            CallOutcome::Whole => "whole",
+            CallOutcome::Wrong(_) => "wrong",
+            CallOutcome::NotRun(_) => "not-run",
+            CallOutcome::MayHaveRun(_) => "may-have-run",
+            CallOutcome::Cut(_) => "cut",
         };
         expect_that!(name, eq(fate), "{what}: {got:?}");
     }
@@ -283,13 +283,13 @@
 /// that one answers with an error. Cause: the second answer's status is not looked at.
 #[gtest]
 fn a_resumed_answer_with_another_status_never_looks_whole() {
-    let mut system = System::new(Size {
+    let mut system = System::new(SystemSpec {
         entries: 1,
         control: 1,
-        ..Size::default()
+        ..SystemSpec::default()
     });
     system.start("e1");
-    let entry: SocketAddr = system.inbox("e1").parse().unwrap();
+    let entry: SocketAddr = system.inbox_address("e1").parse().unwrap();
     let script: Script = |n, resume_at, a, _| {
         let half = a.len() as u64;
         if resume_at == 0 {
@@ -308,13 +308,13 @@
         .iter()
         .enumerate()
         .map(|(i, name)| {
-            let address = system.spare(20 + i).parse().unwrap();
+            let address = system.unused_address(20 + i).parse().unwrap();
             Scripted::start(name, "resumed", address, entry, script)
         })
         .collect();
-    rows(&system, "e1", "show entries", 1, WITHIN).unwrap();
-    bed::command(&system, "e1", "create service resumed engine=true").unwrap();
-    rows(
+    wait_for_rows(&system, "e1", "show entries", 1, WITHIN).unwrap();
+    testbed::command(&system, "e1", "create service resumed engine=true").unwrap();
+    wait_for_rows(
         &system,
         "e1",
         "show backends where state = serving",
@@ -323,10 +323,10 @@
     )
     .unwrap();
 
-    let got = send(&ask(&system, "resumed"));
+    let got = send(&request(&system, "resumed"));
 
     agents
         .iter()
         .for_each(|a| a.stop.store(true, Ordering::Relaxed));
-    expect_true!(matches!(got, Fate::Cut(_)), "{got:?}");
+    expect_true!(matches!(got, CallOutcome::Cut(_)), "{got:?}");
 }
--- a/crates/cli/tests/callers.rs
+++ b/crates/cli/tests/callers.rs
@@ -4,28 +4,28 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
 #[allow(dead_code)]
-mod bed;
+mod testbed;
 
-use bed::{Ask, Fate, KEY, Size, System, rows, send};
 use googletest::prelude::*;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
+use testbed::{CallOutcome, KEY, Request, System, SystemSpec, send, wait_for_rows};
 
 const WITHIN: Duration = Duration::from_secs(20);
 
 /// A system of one entry and one engine that serves.
 fn system() -> System {
-    let mut system = System::new(Size {
+    let mut system = System::new(SystemSpec {
         entries: 1,
         control: 1,
         engines: 1,
-        ..Size::default()
+        ..SystemSpec::default()
     });
     for name in system.names() {
         system.start(&name);
     }
-    rows(
+    wait_for_rows(
         &system,
         "e1",
         "show backends where state = serving",
@@ -37,7 +37,7 @@
 }
 
 fn exchange(system: &System, request: &[u8]) -> String {
-    let mut stream = TcpStream::connect(system.callers("e1")).unwrap();
+    let mut stream = TcpStream::connect(system.caller_address("e1")).unwrap();
     stream.set_read_timeout(Some(WITHIN)).unwrap();
     let _ = stream.write_all(request);
     let mut answer = Vec::new();
@@ -190,25 +190,25 @@
     ];
     let slow: Vec<TcpStream> = (0..200)
         .map(|i| {
-            let mut stream = TcpStream::connect(system.callers("e1")).unwrap();
+            let mut stream = TcpStream::connect(system.caller_address("e1")).unwrap();
             stream.write_all(halves[i % 2].as_bytes()).unwrap();
             stream
         })
         .collect();
 
     let start = Instant::now();
-    let ask = Ask {
-        entry: system.callers("e1"),
+    let request = Request {
+        entry: system.caller_address("e1"),
         service: "notice-gen".into(),
         prompt: "q".into(),
         key: None,
         tokens: 4,
         deadline_ms: None,
     };
-    let fate = send(&ask);
+    let fate = send(&request);
     let took = start.elapsed();
 
-    expect_that!(fate, eq(&Fate::Whole));
+    expect_that!(fate, eq(&CallOutcome::Whole));
     expect_that!(took, lt(Duration::from_secs(2)));
     for mut stream in slow {
         stream.set_read_timeout(Some(WITHIN)).unwrap();
--- a/crates/cli/tests/resting.rs
+++ b/crates/cli/tests/resting.rs
@@ -3,11 +3,11 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
 #[allow(dead_code)]
-mod bed;
+mod testbed;
 
-use bed::{Ask, Size, System, rows, send};
 use googletest::prelude::*;
 use std::time::{Duration, Instant};
+use testbed::{Request, System, SystemSpec, send, wait_for_rows};
 
 const WITHIN: Duration = Duration::from_secs(20);
 /// Rest that is asked for, and the time of asking within it.
@@ -22,19 +22,19 @@
 /// Evidence: 133 requests within the rest, as many as the other backend server got.
 #[googletest::test]
 fn an_agent_keeps_requests_from_a_backend_server_that_asks_for_rest() {
-    let mut system = System::new(Size {
+    let mut system = System::new(SystemSpec {
         entries: 1,
         control: 1,
         engines: 2,
-        ..Size::default()
+        ..SystemSpec::default()
     });
     for name in system.names() {
         system.start(&name);
     }
     let serving = "show backends where state = serving";
-    rows(&system, "e1", serving, 2, WITHIN).unwrap();
-    let ask = Ask {
-        entry: system.callers("e1"),
+    wait_for_rows(&system, "e1", serving, 2, WITHIN).unwrap();
+    let request = Request {
+        entry: system.caller_address("e1"),
         service: "notice-gen".into(),
         prompt: "q".into(),
         key: None,
@@ -42,15 +42,15 @@
         deadline_ms: Some(2_000),
     };
     // Requests with the same beginning go to the same one while it has room.
-    send(&ask);
+    send(&request);
     let ran = |n: &&str| system.record(n).iter().any(|l| l.event == "start");
     let chosen = ["n1", "n2"].into_iter().find(ran).unwrap();
-    let order = format!("http://{}/fake/rest", system.fake(chosen));
+    let order = format!("http://{}/fake/rest", system.fake_address(chosen));
     ureq::post(order).send(REST.as_secs().to_string()).unwrap();
 
     let began = Instant::now();
     while began.elapsed() < ASKING {
-        send(&ask);
+        send(&request);
         std::thread::sleep(Duration::from_millis(20));
     }
 
--- a/crates/cli/tests/scenarios.rs
+++ b/crates/cli/tests/scenarios.rs
@@ -4,7 +4,7 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
 #[allow(dead_code)]
-mod bed;
+mod testbed;
 
 use libtest_mimic::{Arguments, Trial};
 use std::fs;
@@ -24,7 +24,7 @@
     files.sort();
     let trial = |path: std::path::PathBuf| {
         let name = path.file_stem().unwrap().to_string_lossy().into_owned();
-        Trial::test(name, move || bed::run(&path).map_err(Into::into))
+        Trial::test(name, move || testbed::run(&path).map_err(Into::into))
     };
     libtest_mimic::run(&args, files.into_iter().map(trial).collect()).exit();
 }
--- a/crates/cli/tests/bed/calls.rs
+++ b/crates/cli/tests/testbed/calls.rs
@@ -1,4 +1,4 @@
-//! Callers: single requests and a steady load, each judged by what came back.
+//! Clients that send single requests or a constant request rate and classify each response.
 
 use super::system::KEY;
 use std::io::Read;
@@ -7,23 +7,23 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(30);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How a request ended for its caller.
+/// Result of a request as its caller sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Fate {
+pub(crate) enum CallOutcome {
     Whole,
-    /// Whole, but not the answer to this request.
+    /// Complete, but not the answer to this request.
     Wrong(String),
     NotRun(String),
     MayHaveRun(String),
-    /// The connection broke, or could not be made.
+    /// The connection failed or could not be opened.
     Cut(String),
 }
 
-/// A request to send.
+/// Parameters of a request.
 #[derive(Debug, Clone)]
-pub(crate) struct Ask {
+pub(crate) struct Request {
     pub(crate) entry: String,
     pub(crate) service: String,
     pub(crate) prompt: String,
@@ -32,32 +32,34 @@
     pub(crate) deadline_ms: Option<u64>,
 }
 
-/// Sends a request and waits for its end.
-pub(crate) fn send(ask: &Ask) -> Fate {
+/// Sends a request and waits for its outcome.
+pub(crate) fn send(request: &Request) -> CallOutcome {
     let agent: ureq::Agent = ureq::Agent::config_builder()
         .http_status_as_error(false)
         .max_idle_connections(0)
-        .timeout_global(Some(PATIENCE))
+        .timeout_global(Some(REQUEST_TIMEOUT))
         .build()
         .into();
-    let engine = ask.service != "kiosk-ctl";
+    let engine = request.service != "kiosk-ctl";
     let body = match engine {
-        true => serde_json::json!({ "prompt": ask.prompt, "tokens": ask.tokens }).to_string(),
-        false => ask.prompt.clone(),
+        true => {
+            serde_json::json!({ "prompt": request.prompt, "tokens": request.tokens }).to_string()
+        }
+        false => request.prompt.clone(),
     };
-    let url = format!("http://{}/svc/{}/v1/run", ask.entry, ask.service);
-    let mut request = agent
+    let url = format!("http://{}/svc/{}/v1/run", request.entry, request.service);
+    let mut builder = agent
         .post(url)
         .header("authorization", format!("Bearer {KEY}"));
-    if let Some(key) = &ask.key {
-        request = request.header("idempotency-key", key);
+    if let Some(key) = &request.key {
+        builder = builder.header("idempotency-key", key);
     }
-    if let Some(ms) = ask.deadline_ms {
-        request = request.header("x-deadline-ms", ms.to_string());
+    if let Some(ms) = request.deadline_ms {
+        builder = builder.header("x-deadline-ms", ms.to_string());
     }
-    let response = match request.send(&body[..]) {
+    let response = match builder.send(&body[..]) {
         Ok(response) => response,
-        Err(e) => return Fate::Cut(e.to_string()),
+        Err(e) => return CallOutcome::Cut(e.to_string()),
     };
     let verdict = response
         .headers()
@@ -65,31 +67,31 @@
         .map(|v| v.to_str().unwrap().to_string());
     let mut text = String::new();
     if let Err(e) = response.into_body().into_reader().read_to_string(&mut text) {
-        return Fate::Cut(e.to_string());
+        return CallOutcome::Cut(e.to_string());
     }
-    let right = match engine {
-        true => bn_fake::expected(&ask.prompt, ask.tokens),
-        false => serde_json::json!({ "done": true, "echo": ask.prompt }).to_string(),
+    let expected = match engine {
+        true => bn_fake::expected(&request.prompt, request.tokens),
+        false => serde_json::json!({ "done": true, "echo": request.prompt }).to_string(),
     };
     match verdict.as_deref() {
-        Some("not-run") => Fate::NotRun(text),
-        Some(_) => Fate::MayHaveRun(text),
-        None if text == right => Fate::Whole,
-        None => Fate::Wrong(text),
+        Some("not-run") => CallOutcome::NotRun(text),
+        Some(_) => CallOutcome::MayHaveRun(text),
+        None if text == expected => CallOutcome::Whole,
+        None => CallOutcome::Wrong(text),
     }
 }
 
-/// A steady load of requests that each have a prompt of their own.
+/// Requests at a constant rate, each with a unique prompt.
 pub(crate) struct Load {
     stop: Arc<AtomicBool>,
-    outcomes: Arc<Mutex<Vec<(Ask, Fate)>>>,
+    outcomes: Arc<Mutex<Vec<(Request, CallOutcome)>>>,
     thread: JoinHandle<()>,
 }
 
-static SERIAL: AtomicU64 = AtomicU64::new(0);
+static NEXT_SERIAL: AtomicU64 = AtomicU64::new(0);
 
 impl Load {
-    /// Sends `rate` requests a second, in turn to the entries, until stopped.
+    /// Sends `rate` requests per second, round-robin over the entries, until `finish` is called.
     pub(crate) fn start(
         service: &str,
         entries: Vec<String>,
@@ -99,15 +101,15 @@
     ) -> Load {
         let stop = Arc::new(AtomicBool::new(false));
         let outcomes = Arc::new(Mutex::new(Vec::new()));
-        let (stopped, kept, service) = (stop.clone(), outcomes.clone(), service.to_string());
+        let (stopped, results, service) = (stop.clone(), outcomes.clone(), service.to_string());
         let thread = thread::spawn(move || {
             let mut calls = Vec::new();
             for entry in entries.iter().cycle() {
                 if stopped.load(Ordering::Relaxed) {
                     break;
                 }
-                let serial = SERIAL.fetch_add(1, Ordering::Relaxed);
-                let ask = Ask {
+                let serial = NEXT_SERIAL.fetch_add(1, Ordering::Relaxed);
+                let request = Request {
                     entry: entry.clone(),
                     service: service.clone(),
                     prompt: format!("load {serial}"),
@@ -115,10 +117,10 @@
                     tokens,
                     deadline_ms: Some(15_000),
                 };
-                let kept = kept.clone();
+                let results = results.clone();
                 calls.push(thread::spawn(move || {
-                    let fate = send(&ask);
-                    kept.lock().unwrap().push((ask, fate));
+                    let outcome = send(&request);
+                    results.lock().unwrap().push((request, outcome));
                 }));
                 thread::sleep(Duration::from_secs(1) / rate as u32);
             }
@@ -133,8 +135,8 @@
         }
     }
 
-    /// Stops sending and waits for all ends.
-    pub(crate) fn finish(self) -> Vec<(Ask, Fate)> {
+    /// Stops sending and waits until every request has an outcome.
+    pub(crate) fn finish(self) -> Vec<(Request, CallOutcome)> {
         self.stop.store(true, Ordering::Relaxed);
         self.thread.join().unwrap();
         Arc::try_unwrap(self.outcomes)
--- a/crates/cli/tests/bed/operate.rs
+++ b/crates/cli/tests/testbed/operators.rs
@@ -1,4 +1,4 @@
-//! Operators: commands and queries to one entry.
+//! Operator commands and queries, sent to one entry.
 
 use super::system::System;
 use serde_json::{Value, json};
@@ -6,21 +6,21 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(10);
-const PAUSE: Duration = Duration::from_millis(50);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-static NUMBER: AtomicU64 = AtomicU64::new(1);
+static NEXT_NUMBER: AtomicU64 = AtomicU64::new(1);
 
-/// Sends one command as it is; status and answer.
+/// Posts a command once; returns the status and body of the response.
 pub(crate) fn post(system: &System, entry: &str, body: &Value) -> Result<(u16, Value), String> {
     let agent: ureq::Agent = ureq::Agent::config_builder()
         .http_status_as_error(false)
-        .timeout_global(Some(PATIENCE))
+        .timeout_global(Some(REQUEST_TIMEOUT))
         .build()
         .into();
-    let url = format!("http://{}/v1/command", system.operators(entry));
-    let sent = agent.post(url).send(body.to_string());
-    let mut response = sent.map_err(|e| e.to_string())?;
+    let url = format!("http://{}/v1/command", system.operator_address(entry));
+    let result = agent.post(url).send(body.to_string());
+    let mut response = result.map_err(|e| e.to_string())?;
     let text = response
         .body_mut()
         .read_to_string()
@@ -29,9 +29,9 @@
     Ok((response.status().as_u16(), value))
 }
 
-/// A command that must be accepted.
+/// Sends a command and fails unless it is accepted.
 pub(crate) fn command(system: &System, entry: &str, text: &str) -> Result<(), String> {
-    let number = NUMBER.fetch_add(1, Ordering::Relaxed);
+    let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
     let body = json!({ "operator": "test", "number": number, "token": "t", "text": text });
     match post(system, entry, &body)? {
         (200, _) => Ok(()),
@@ -39,8 +39,8 @@
     }
 }
 
-/// Waits until a query gives so many rows.
-pub(crate) fn rows(
+/// Polls a query until it returns `count` rows.
+pub(crate) fn wait_for_rows(
     system: &System,
     entry: &str,
     query: &str,
@@ -50,8 +50,8 @@
     let start = Instant::now();
     let body = json!({ "operator": "test", "number": 0, "token": "", "text": query });
     loop {
-        let got = post(system, entry, &body);
-        let rows = got
+        let response = post(system, entry, &body);
+        let rows = response
             .as_ref()
             .ok()
             .and_then(|(_, v)| v.get("rows")?.as_array());
@@ -59,8 +59,10 @@
             return Ok(());
         }
         if start.elapsed() > within {
-            return Err(format!("{query} at {entry}: {got:?}"));
+            return Err(format!(
+                "{query} at {entry}: expected {count} rows, got {response:?}"
+            ));
         }
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/cli/tests/bed/system.rs
+++ b/crates/cli/tests/testbed/system.rs
@@ -1,6 +1,6 @@
-//! A small system of separate processes on loopback numbers of its own.
+//! A small system of separate processes on its own loopback network.
 
-use super::relay::{self, SharedCuts};
+use super::proxy::{self, SharedPartitions};
 use bn_fake::Line;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -14,38 +14,38 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-const INBOX: u16 = 7000;
-const LISTEN: u16 = 7001;
-const CALLERS: u16 = 7100;
-const OPERATORS: u16 = 7200;
-const FAKE: u16 = 7500;
-/// A second of steps, so that switches are quick.
+const INBOX_PORT: u16 = 7000;
+const LISTEN_PORT: u16 = 7001;
+const CALLER_PORT: u16 = 7100;
+const OPERATOR_PORT: u16 = 7200;
+const FAKE_PORT: u16 = 7500;
+/// Steps of one second, so that a switch takes effect soon.
 const GRANT_STEPS: u64 = 200;
 const DOMAINS: [&str; 3] = ["gulberg", "anarkali", "johar"];
-/// The key of every scenario's account.
+/// Key of the client account that all scenarios use.
 pub(crate) const KEY: &str = "key-a1";
 
-static NEXT: AtomicU8 = AtomicU8::new(1);
+static NEXT_NETWORK: AtomicU8 = AtomicU8::new(1);
 
-/// How large a system is.
+/// Number and kind of the processes of a system.
 #[derive(Debug, Clone)]
-pub(crate) struct Size {
+pub(crate) struct SystemSpec {
     pub(crate) entries: usize,
     pub(crate) control: usize,
     pub(crate) engines: usize,
     pub(crate) plain: usize,
-    /// Milliseconds that callers keep addresses.
+    /// How long callers cache addresses, in milliseconds.
     pub(crate) ttl_ms: u64,
     pub(crate) capacity: usize,
-    /// The engines are ranks of one lock-step group.
+    /// The engines are the ranks of one lock-step group.
     pub(crate) group: bool,
-    /// Callers and operators connect by TLS.
+    /// Callers and operators connect over TLS.
     pub(crate) tls: bool,
 }
 
-impl Default for Size {
-    fn default() -> Size {
-        Size {
+impl Default for SystemSpec {
+    fn default() -> SystemSpec {
+        SystemSpec {
             entries: 3,
             control: 3,
             engines: 0,
@@ -63,50 +63,50 @@
     child: Option<Child>,
 }
 
-/// Finds a loopback network that no other test uses, and holds it with a listener.
-fn claim_network() -> (String, TcpListener) {
+/// Finds a loopback network that no other test uses and reserves it by listening on it.
+fn reserve_network() -> (String, TcpListener) {
     loop {
-        let n = NEXT.fetch_add(1, Ordering::Relaxed);
+        let n = NEXT_NETWORK.fetch_add(1, Ordering::Relaxed);
         let ip = format!("127.{}.{n}", 64 + std::process::id() % 128);
-        if let Ok(claim) = TcpListener::bind(format!("{ip}.251:{LISTEN}")) {
-            return (ip, claim);
+        if let Ok(reservation) = TcpListener::bind(format!("{ip}.251:{LISTEN_PORT}")) {
+            return (ip, reservation);
         }
     }
 }
 
 pub(crate) struct System {
-    _claim: TcpListener,
+    _reservation: TcpListener,
     pub(crate) dir: TempDir,
     ip: String,
-    size: Size,
+    spec: SystemSpec,
     processes: BTreeMap<String, Process>,
-    pub(crate) cuts: SharedCuts,
+    pub(crate) partitions: SharedPartitions,
 }
 
-/// `e2` is entry 2, `g3` agent 3, `n3` the backend server of agent 3.
+/// Number in a process name: `e2` is entry 2, `g3` agent 3, `n3` the backend server of agent 3.
 fn index(name: &str) -> usize {
     name[1..]
         .parse()
-        .unwrap_or_else(|_| panic!("{name} is no process"))
+        .unwrap_or_else(|_| panic!("{name} is not a process name"))
 }
 
 impl System {
-    pub(crate) fn new(size: Size) -> System {
-        let (ip, claim) = claim_network();
+    pub(crate) fn new(spec: SystemSpec) -> System {
+        let (ip, reservation) = reserve_network();
         let dir = tempfile::tempdir().unwrap();
         let mut system = System {
-            _claim: claim,
+            _reservation: reservation,
             dir,
             ip,
-            size,
+            spec,
             processes: BTreeMap::new(),
-            cuts: SharedCuts::default(),
+            partitions: SharedPartitions::default(),
         };
         system.write_seed();
-        for i in 1..=system.size.entries {
+        for i in 1..=system.spec.entries {
             system.add_entry(i);
         }
-        for i in 1..=system.size.engines + system.size.plain {
+        for i in 1..=system.spec.engines + system.spec.plain {
             system.add_backend(i);
         }
         system
@@ -121,29 +121,29 @@
         format!("{}.{}", self.ip, offset + index(name))
     }
 
-    fn at(&self, name: &str, port: u16) -> String {
+    fn address(&self, name: &str, port: u16) -> String {
         format!("{}:{port}", self.host(name))
     }
 
-    pub(crate) fn callers(&self, entry: &str) -> String {
-        self.at(entry, CALLERS)
+    pub(crate) fn caller_address(&self, entry: &str) -> String {
+        self.address(entry, CALLER_PORT)
     }
 
-    pub(crate) fn inbox(&self, process: &str) -> String {
-        self.at(process, INBOX)
+    pub(crate) fn inbox_address(&self, process: &str) -> String {
+        self.address(process, INBOX_PORT)
     }
 
-    /// An address that no process of the system has.
-    pub(crate) fn spare(&self, i: usize) -> String {
+    /// An address that no process of the system uses.
+    pub(crate) fn unused_address(&self, i: usize) -> String {
         format!("{}.250:{}", self.ip, 7000 + 10 * i)
     }
 
-    pub(crate) fn operators(&self, process: &str) -> String {
-        self.at(process, OPERATORS)
+    pub(crate) fn operator_address(&self, process: &str) -> String {
+        self.address(process, OPERATOR_PORT)
     }
 
-    pub(crate) fn fake(&self, backend: &str) -> String {
-        self.at(backend, FAKE)
+    pub(crate) fn fake_address(&self, backend: &str) -> String {
+        self.address(backend, FAKE_PORT)
     }
 
     fn path(&self, name: &str) -> PathBuf {
@@ -156,37 +156,37 @@
              create service kiosk-ctl engine=false repeatable=false;\n",
         );
         text += &format!("create account a1 key={KEY} rate=100000 top=urgent;\n");
-        if self.size.group {
-            let ranks = self.size.engines;
+        if self.spec.group {
+            let ranks = self.spec.engines;
             text += &format!("create group ga service=notice-gen ranks={ranks} experts=8;\n");
         }
-        for i in 1..=self.size.entries {
+        for i in 1..=self.spec.entries {
             let name = format!("e{i}");
-            let (callers, inbox) = (self.callers(&name), self.at(&name, INBOX));
+            let (callers, inbox) = (self.caller_address(&name), self.address(&name, INBOX_PORT));
             let domain = DOMAINS[(i - 1) % DOMAINS.len()];
             text +=
                 &format!("create entry {name} domain={domain} callers={callers} inbox={inbox};\n");
-            if i <= self.size.control {
+            if i <= self.spec.control {
                 text += &format!("create member {name} inbox={inbox};\n");
             }
         }
         fs::write(self.path("seed.bn"), text).unwrap();
     }
 
-    /// The certificate that callers and operators trust.
+    /// Path of the certificate that callers and operators trust.
     pub(crate) fn certificate(&self) -> PathBuf {
         self.path("cert.pem")
     }
 
     fn write_certificate(&self, name: &str) {
-        let made = rcgen::generate_simple_self_signed([self.host(name)]).unwrap();
-        fs::write(self.certificate(), made.cert.pem()).unwrap();
-        fs::write(self.path("key.pem"), made.signing_key.serialize_pem()).unwrap();
+        let generated = rcgen::generate_simple_self_signed([self.host(name)]).unwrap();
+        fs::write(self.certificate(), generated.cert.pem()).unwrap();
+        fs::write(self.path("key.pem"), generated.signing_key.serialize_pem()).unwrap();
     }
 
     fn control_inboxes(&self) -> Vec<String> {
-        (1..=self.size.control)
-            .map(|i| self.at(&format!("e{i}"), INBOX))
+        (1..=self.spec.control)
+            .map(|i| self.address(&format!("e{i}"), INBOX_PORT))
             .collect()
     }
 
@@ -194,19 +194,19 @@
         let name = format!("e{i}");
         let mut settings = self.settings(&name);
         settings["entry"] = json!({
-            "callers": self.callers(&name), "control": self.control_inboxes(),
-            "addresses_ttl_ms": self.size.ttl_ms,
+            "callers": self.caller_address(&name), "control": self.control_inboxes(),
+            "addresses_ttl_ms": self.spec.ttl_ms,
         });
-        if self.size.tls {
+        if self.spec.tls {
             self.write_certificate(&name);
             settings["tls"] = json!({ "cert": self.certificate(), "key": self.path("key.pem") });
         }
-        if i <= self.size.control {
+        if i <= self.spec.control {
             let peer = |n: usize| {
                 let id = format!("e{n}");
-                json!({ "inbox": self.at(&id, INBOX), "id": id })
+                json!({ "inbox": self.address(&id, INBOX_PORT), "id": id })
             };
-            let peers: Vec<Value> = (1..=self.size.control).map(peer).collect();
+            let peers: Vec<Value> = (1..=self.spec.control).map(peer).collect();
             settings["control"] = json!({
                 "data": self.path(&format!("{name}.data")), "peers": peers,
                 "seed": self.path("seed.bn"), "grant_steps": GRANT_STEPS,
@@ -218,12 +218,12 @@
     fn add_backend(&mut self, i: usize) {
         let (agent, backend) = (format!("g{i}"), format!("n{i}"));
         let mut settings = self.settings(&agent);
-        let entries: Vec<String> = (1..=self.size.entries)
-            .map(|e| self.at(&format!("e{e}"), INBOX))
+        let entries: Vec<String> = (1..=self.spec.entries)
+            .map(|e| self.address(&format!("e{e}"), INBOX_PORT))
             .collect();
         settings["agent"] = json!({ "entries": entries });
         self.add_node(&agent, &settings);
-        let engine = i <= self.size.engines;
+        let engine = i <= self.spec.engines;
         let (kind, service) = if engine {
             ("engine", "notice-gen")
         } else {
@@ -241,12 +241,12 @@
         .map(Into::into)
         .into();
         arguments.extend([
-            format!("--listen={}", self.fake(&backend)),
-            format!("--agent={}", self.operators(&agent)),
+            format!("--listen={}", self.fake_address(&backend)),
+            format!("--agent={}", self.operator_address(&agent)),
             format!("--record={}", self.record_path(&backend).display()),
-            format!("--capacity={}", self.size.capacity),
+            format!("--capacity={}", self.spec.capacity),
         ]);
-        if engine && self.size.group {
+        if engine && self.spec.group {
             arguments.extend(["--group=ga".into(), format!("--rank={}", i - 1)]);
             arguments.push("--record-steps".into());
         }
@@ -262,8 +262,8 @@
     fn settings(&self, name: &str) -> Value {
         json!({
             "id": name, "domain": DOMAINS[(index(name) - 1) % DOMAINS.len()],
-            "inbox": self.at(name, INBOX), "listen": self.at(name, LISTEN),
-            "operators": self.operators(name),
+            "inbox": self.address(name, INBOX_PORT), "listen": self.address(name, LISTEN_PORT),
+            "operators": self.operator_address(name),
             "log": { "level": "info", "events": self.path(&format!("{name}.events")) },
         })
     }
@@ -271,8 +271,13 @@
     fn add_node(&mut self, name: &str, settings: &Value) {
         let file = self.path(&format!("{name}.json"));
         fs::write(&file, settings.to_string()).unwrap();
-        let address = |port| self.at(name, port).parse().unwrap();
-        relay::start(name, address(INBOX), address(LISTEN), &self.cuts);
+        let address = |port| self.address(name, port).parse().unwrap();
+        proxy::start(
+            name,
+            address(INBOX_PORT),
+            address(LISTEN_PORT),
+            &self.partitions,
+        );
         let arguments = vec![
             "run".into(),
             "--settings".into(),
@@ -292,7 +297,7 @@
     }
 
     pub(crate) fn entries(&self) -> Vec<String> {
-        (1..=self.size.entries).map(|i| format!("e{i}")).collect()
+        (1..=self.spec.entries).map(|i| format!("e{i}")).collect()
     }
 
     pub(crate) fn start(&mut self, name: &str) {
@@ -303,8 +308,8 @@
         let process = self
             .processes
             .get_mut(name)
-            .unwrap_or_else(|| panic!("no process {name}"));
-        assert!(process.child.is_none(), "{name} runs already");
+            .unwrap_or_else(|| panic!("unknown process {name}"));
+        assert!(process.child.is_none(), "{name} is already running");
         let child = Command::new(env!("CARGO_BIN_EXE_buckthornnotch"))
             .args(&process.arguments)
             .stdin(Stdio::null())
@@ -316,7 +321,7 @@
 
     fn child(&mut self, name: &str) -> &mut Child {
         let child = self.processes.get_mut(name).and_then(|p| p.child.as_mut());
-        child.unwrap_or_else(|| panic!("{name} does not run"))
+        child.unwrap_or_else(|| panic!("{name} is not running"))
     }
 
     fn signal(&mut self, name: &str, signal: Signal) {
@@ -342,29 +347,29 @@
         self.signal(name, Signal::SIGTERM);
     }
 
-    /// Waits for a graceful end; its exit code must be 0.
-    pub(crate) fn stopped(&mut self, name: &str, within: Duration) -> Result<(), String> {
+    /// Waits for a process to exit; fails unless its exit code is 0.
+    pub(crate) fn wait_for_exit(&mut self, name: &str, within: Duration) -> Result<(), String> {
         let start = Instant::now();
         loop {
             if let Some(status) = self.child(name).try_wait().unwrap() {
                 self.processes.get_mut(name).unwrap().child = None;
                 return match status.success() {
                     true => Ok(()),
-                    false => Err(format!("{name} ended with {status}")),
+                    false => Err(format!("{name} exited with {status}")),
                 };
             }
             if start.elapsed() > within {
-                return Err(format!("{name} still runs after {within:?}"));
+                return Err(format!("{name} is still running after {within:?}"));
             }
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    pub(crate) fn empty(&self, name: &str) {
+    pub(crate) fn delete_data(&self, name: &str) {
         fs::remove_dir_all(self.path(&format!("{name}.data"))).unwrap();
     }
 
-    pub(crate) fn running(&self, name: &str) -> bool {
+    pub(crate) fn is_running(&self, name: &str) -> bool {
         self.processes.get(name).is_some_and(|p| p.child.is_some())
     }
 
@@ -372,7 +377,7 @@
         self.path(&format!("{backend}.record"))
     }
 
-    /// What a backend server's own record says.
+    /// Everything that a fake backend server recorded.
     pub(crate) fn record(&self, backend: &str) -> Vec<Line> {
         let text = fs::read_to_string(self.record_path(backend)).unwrap_or_default();
         text.lines()
@@ -380,13 +385,13 @@
             .collect()
     }
 
-    /// All records together.
+    /// Records of all backend servers.
     pub(crate) fn records(&self) -> Vec<Line> {
         let backends = self.processes.keys().filter(|n| n.starts_with('n'));
         backends.flat_map(|n| self.record(n)).collect()
     }
 
-    /// Last lines of every log, for a failed scenario.
+    /// The last lines of every log, shown when a scenario fails.
     pub(crate) fn logs(&self) -> String {
         let tail = |name: &String| {
             let text = fs::read_to_string(self.path(&format!("{name}.log"))).unwrap_or_default();
--- a/crates/cli/tests/tls.rs
+++ b/crates/cli/tests/tls.rs
@@ -4,14 +4,14 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
 #[allow(dead_code)]
-mod bed;
+mod testbed;
 
-use bed::{Size, System};
 use googletest::prelude::*;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::process::{Command, Output};
 use std::time::{Duration, Instant};
+use testbed::{System, SystemSpec};
 
 const WITHIN: Duration = Duration::from_secs(20);
 
@@ -21,18 +21,18 @@
         command.arg("--ca").arg(system.certificate());
     }
     command
-        .args(["ctl", "--at", &system.operators("e1"), text])
+        .args(["ctl", "--at", &system.operator_address("e1"), text])
         .output()
         .unwrap()
 }
 
 /// One entry with a certificate, ready for commands.
 fn system() -> System {
-    let mut system = System::new(Size {
+    let mut system = System::new(SystemSpec {
         entries: 1,
         control: 1,
         tls: true,
-        ..Size::default()
+        ..SystemSpec::default()
     });
     system.start("e1");
     let start = Instant::now();
@@ -56,7 +56,7 @@
             "bench",
             "load",
             "--ask",
-            &system.callers("e1"),
+            &system.caller_address("e1"),
             "--rate",
             "5",
             "--seconds",
@@ -83,7 +83,7 @@
     let system = system();
 
     let plain = ctl(&system, false, "show entries");
-    let mut stream = TcpStream::connect(system.callers("e1")).unwrap();
+    let mut stream = TcpStream::connect(system.caller_address("e1")).unwrap();
     stream.set_read_timeout(Some(WITHIN)).unwrap();
     stream
         .write_all(b"GET /v1/addresses HTTP/1.1\r\nHost: e1\r\n\r\n")
