--- a/crates/cli/tests/answers.rs
+++ b/crates/cli/tests/answers.rs
@@ -1,5 +1,5 @@
-//! The interface between entry and agent: whatever an agent sends, a caller gets the
-//! whole answer to its own request, or can tell that it did not.
+//! The interface between entry and agent: whatever an agent sends, a caller gets the complete
+//! answer to its own request or can detect that it did not.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -19,7 +19,7 @@
 use testbed::{CallOutcome, Request, System, SystemSpec, send, wait_for_rows};
 
 const TOKENS: usize = 4;
-const WITHIN: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 fn piece(attempt: u64, offset: u64, text: &str) -> Body {
     Body::Piece(Piece {
@@ -32,7 +32,7 @@
 }
 
 fn finish(attempt: u64, kind: Kind, length: u64) -> Body {
-    let reason = "as the test says".into();
+    let reason = "sent by the test".into();
     Body::Finish(Finish {
         attempt,
         kind: kind.into(),
@@ -43,21 +43,21 @@
     })
 }
 
-/// What an agent sends for an attempt that starts at an offset, whose right answer is given in two halves, and
-/// whether as itself or (`false`) as another start of itself.
+/// Messages that an agent sends for an attempt, given its number, start offset and both halves of
+/// the expected answer; `false` sends the message as an earlier incarnation of the agent.
 type Script = fn(u64, u64, &str, &str) -> Vec<(bool, Body)>;
 
-fn mine(bodies: Vec<Body>) -> Vec<(bool, Body)> {
+fn from_current(bodies: Vec<Body>) -> Vec<(bool, Body)> {
     bodies.into_iter().map(|b| (true, b)).collect()
 }
 
-/// Name, script, and the fate that the caller must see.
+/// Name, script, and the outcome that the caller must see.
 const CASES: [(&str, Script, &str); 10] = [
     (
         "in order",
         |n, _, a, b| {
             let half = a.len() as u64;
-            mine(vec![
+            from_current(vec![
                 piece(n, 0, a),
                 piece(n, half, b),
                 finish(n, Kind::Whole, half * 2),
@@ -66,10 +66,10 @@
         "whole",
     ),
     (
-        "a piece twice",
+        "repeated piece",
         |n, _, a, b| {
             let half = a.len() as u64;
-            mine(vec![
+            from_current(vec![
                 piece(n, 0, a),
                 piece(n, 0, a),
                 piece(n, half, b),
@@ -79,10 +79,10 @@
         "whole",
     ),
     (
-        "a piece lost",
+        "lost piece",
         |n, _, a, b| {
             let half = a.len() as u64;
-            mine(vec![
+            from_current(vec![
                 piece(n, 0, a),
                 piece(n, half + 9, &b[9..]),
                 finish(n, Kind::Whole, half * 2),
@@ -94,7 +94,7 @@
         "out of order",
         |n, _, a, b| {
             let half = a.len() as u64;
-            mine(vec![
+            from_current(vec![
                 piece(n, half, b),
                 piece(n, 0, a),
                 finish(n, Kind::Whole, half * 2),
@@ -103,18 +103,18 @@
         "may-have-run",
     ),
     (
-        "the end before all",
+        "early end",
         |n, _, a, _| {
             let half = a.len() as u64;
-            mine(vec![piece(n, 0, a), finish(n, Kind::Whole, half * 2)])
+            from_current(vec![piece(n, 0, a), finish(n, Kind::Whole, half * 2)])
         },
         "cut",
     ),
     (
-        "a piece for another attempt",
+        "piece of another attempt",
         |n, _, a, b| {
             let half = a.len() as u64;
-            mine(vec![
+            from_current(vec![
                 piece(n, 0, a),
                 piece(n + 1000, half, "other"),
                 piece(n, half, b),
@@ -124,7 +124,7 @@
         "whole",
     ),
     (
-        "a piece of an earlier start",
+        "piece of an earlier incarnation",
         |n, _, a, b| {
             let half = a.len() as u64;
             vec![
@@ -137,7 +137,7 @@
         "whole",
     ),
     (
-        "an end of an earlier start",
+        "end of an earlier incarnation",
         |n, _, a, b| {
             let half = a.len() as u64;
             vec![
@@ -151,68 +151,68 @@
     ),
     (
         "not run",
-        |n, _, _, _| mine(vec![finish(n, Kind::NotRun, 0)]),
+        |n, _, _, _| from_current(vec![finish(n, Kind::NotRun, 0)]),
         "not-run",
     ),
-    ("silence", |_, _, _, _| vec![], "may-have-run"),
+    ("no message", |_, _, _, _| vec![], "may-have-run"),
 ];
 
-/// An agent that follows a script, and a second one that uses its name wrongly.
-struct Scripted {
+/// An agent that follows a script, and an earlier incarnation that uses the same name.
+struct ScriptedAgent {
     stop: Arc<AtomicBool>,
 }
 
-impl Scripted {
+impl ScriptedAgent {
     fn start(
         name: &str,
         service: &str,
         address: SocketAddr,
         entry: SocketAddr,
         script: Script,
-    ) -> Scripted {
-        let (first, second) = (
+    ) -> ScriptedAgent {
+        let (expected, half) = (
             bn_fake::expected("q", TOKENS),
             TOKENS / 2 * bn_fake::TOKEN_BYTES,
         );
-        let (a, b) = first.split_at(second);
+        let (a, b) = expected.split_at(half);
         let (a, b) = (a.to_string(), b.to_string());
         let slot: Arc<Mutex<Option<(Net, Net)>>> = Arc::default();
         let nets = slot.clone();
-        let answer = move |envelope: bn_wire::messages::Envelope| {
+        let on_message = move |envelope: bn_wire::messages::Envelope| {
             let Some(Body::Dispatch(d)) = envelope.body else {
                 return;
             };
-            let Some((me, earlier)) = nets.lock().unwrap().clone() else {
+            let Some((current, earlier)) = nets.lock().unwrap().clone() else {
                 return;
             };
-            me.send(entry, Body::Started(Started { attempt: d.attempt }));
-            for (as_me, body) in script(d.attempt, d.resume_at, &a, &b) {
-                if as_me {
-                    me.send(entry, body)
+            current.send(entry, Body::Started(Started { attempt: d.attempt }));
+            for (as_current, body) in script(d.attempt, d.resume_at, &a, &b) {
+                if as_current {
+                    current.send(entry, body)
                 } else {
                     earlier.send(entry, body)
                 };
-                // Two links: the order between them is the test's.
+                // Nothing orders messages on two links; the delay keeps the order of the script.
                 thread::sleep(Duration::from_millis(40));
             }
         };
-        let me = Net::open(name, 11, address, address, answer).unwrap();
-        let other = SocketAddr::new(address.ip(), address.port() + 1);
-        let earlier = Net::open(name, 10, other, other, |_| {}).unwrap();
-        *slot.lock().unwrap() = Some((me.clone(), earlier));
+        let current = Net::open(name, 11, address, address, on_message).unwrap();
+        let earlier_address = SocketAddr::new(address.ip(), address.port() + 1);
+        let earlier = Net::open(name, 10, earlier_address, earlier_address, |_| {}).unwrap();
+        *slot.lock().unwrap() = Some((current.clone(), earlier));
         let stop = Arc::new(AtomicBool::new(false));
         let (stopped, name, service) = (stop.clone(), name.to_string(), service.to_string());
         thread::spawn(move || {
             let start = Instant::now();
             while !stopped.load(Ordering::Relaxed) {
-                me.send(
+                current.send(
                     entry,
                     Body::Attach(attach(&name, &service, start.elapsed())),
                 );
                 thread::sleep(Duration::from_millis(100));
             }
         });
-        Scripted { stop }
+        ScriptedAgent { stop }
     }
 }
 
@@ -233,7 +233,7 @@
 
 fn request(system: &System, service: &str) -> Request {
     Request {
-        entry: system.caller_address("e1"),
+        entry: system.caller_addr("e1"),
         service: service.into(),
         prompt: "q".into(),
         key: None,
@@ -242,91 +242,94 @@
     }
 }
 
-/// Symptom: a caller takes a part, or a part of another's answer, for its own whole
-/// answer. Sequence: pieces lost, doubled, swapped, of another attempt or of an
-/// earlier start; the end too early or never. Cause: offsets, attempt numbers,
+/// Guards against callers that take part of an answer, or part of another's, for their complete
+/// answer. Pieces are lost, repeated, reordered, or come from another attempt or an earlier
+/// incarnation, and the end comes too early or never. The fault: offsets, attempt numbers,
 /// incarnations or the end marker are not checked.
 #[gtest]
-fn a_caller_gets_its_whole_answer_or_can_tell() {
+fn incomplete_answers_are_detectable() {
     let mut system = System::new(SystemSpec {
         entries: 1,
         control: 1,
         ..SystemSpec::default()
     });
     system.start("e1");
-    let entry: SocketAddr = system.inbox_address("e1").parse().unwrap();
-    for (i, (what, script, fate)) in CASES.into_iter().enumerate() {
+    let entry: SocketAddr = system.inbox_addr("e1").parse().unwrap();
+    for (i, (case, script, expected)) in CASES.into_iter().enumerate() {
         let name = format!("s{i}");
-        let address = system.unused_address(i).parse().unwrap();
-        let agent = Scripted::start(&name, &name, address, entry, script);
-        wait_for_rows(&system, "e1", "show entries", 1, WITHIN).unwrap();
+        let address = system.unused_addr(i).parse().unwrap();
+        let agent = ScriptedAgent::start(&name, &name, address, entry, script);
+        wait_for_rows(&system, "e1", "show entries", 1, TIMEOUT).unwrap();
         testbed::command(&system, "e1", &format!("create service {name} engine=true")).unwrap();
         let serving = format!("show backends where backend = {name} and state = serving");
-        wait_for_rows(&system, "e1", &serving, 1, WITHIN).unwrap();
+        wait_for_rows(&system, "e1", &serving, 1, TIMEOUT).unwrap();
 
-        let got = send(&request(&system, &name));
+        let outcome = send(&request(&system, &name));
 
         agent.stop.store(true, Ordering::Relaxed);
-        let name = match &got {
+        let name = match &outcome {
             CallOutcome::Whole => "whole",
             CallOutcome::Wrong(_) => "wrong",
             CallOutcome::NotRun(_) => "not-run",
             CallOutcome::MayHaveRun(_) => "may-have-run",
             CallOutcome::Cut(_) => "cut",
         };
-        expect_that!(name, eq(fate), "{what}: {got:?}");
+        expect_that!(name, eq(expected), "{case}: {outcome:?}");
     }
 }
 
-/// Symptom: a caller gets half of its answer and an error page behind it, closed as
-/// whole. Sequence: an answer is cut half way, goes on at another backend server, and
-/// that one answers with an error. Cause: the second answer's status is not looked at.
+/// Guards against an error page appended to half an answer and sent as complete: an answer is
+/// interrupted and resumed at another backend server, which responds with an error. The fault: the
+/// status of the second response is not checked.
 #[gtest]
-fn a_resumed_answer_with_another_status_never_looks_whole() {
+fn a_resumed_answer_with_another_status_is_never_complete() {
     let mut system = System::new(SystemSpec {
         entries: 1,
         control: 1,
         ..SystemSpec::default()
     });
     system.start("e1");
-    let entry: SocketAddr = system.inbox_address("e1").parse().unwrap();
+    let entry: SocketAddr = system.inbox_addr("e1").parse().unwrap();
     let script: Script = |n, resume_at, a, _| {
         let half = a.len() as u64;
         if resume_at == 0 {
-            return mine(vec![piece(n, 0, a), finish(n, Kind::MayHaveRun, half)]);
+            return from_current(vec![piece(n, 0, a), finish(n, Kind::MayHaveRun, half)]);
         }
-        let page = Piece {
+        let error_page = Piece {
             attempt: n,
             offset: half,
             data: "overloaded".into(),
             status: 503,
             headers: vec![],
         };
-        mine(vec![Body::Piece(page), finish(n, Kind::Whole, half + 10)])
+        from_current(vec![
+            Body::Piece(error_page),
+            finish(n, Kind::Whole, half + 10),
+        ])
     };
-    let agents: Vec<Scripted> = ["r1", "r2"]
+    let agents: Vec<ScriptedAgent> = ["r1", "r2"]
         .iter()
         .enumerate()
         .map(|(i, name)| {
-            let address = system.unused_address(20 + i).parse().unwrap();
-            Scripted::start(name, "resumed", address, entry, script)
+            let address = system.unused_addr(20 + i).parse().unwrap();
+            ScriptedAgent::start(name, "resumed", address, entry, script)
         })
         .collect();
-    wait_for_rows(&system, "e1", "show entries", 1, WITHIN).unwrap();
+    wait_for_rows(&system, "e1", "show entries", 1, TIMEOUT).unwrap();
     testbed::command(&system, "e1", "create service resumed engine=true").unwrap();
     wait_for_rows(
         &system,
         "e1",
         "show backends where state = serving",
         2,
-        WITHIN,
+        TIMEOUT,
     )
     .unwrap();
 
-    let got = send(&request(&system, "resumed"));
+    let outcome = send(&request(&system, "resumed"));
 
     agents
         .iter()
         .for_each(|a| a.stop.store(true, Ordering::Relaxed));
-    expect_true!(matches!(got, CallOutcome::Cut(_)), "{got:?}");
+    expect_true!(matches!(outcome, CallOutcome::Cut(_)), "{outcome:?}");
 }
--- a/crates/cli/tests/callers.rs
+++ b/crates/cli/tests/callers.rs
@@ -1,5 +1,5 @@
-//! The callers' interface: bad input of every kind gets a clear refusal, and costs
-//! other callers nothing.
+//! The callers' interface: invalid input is refused with a status and a reason, and does not
+//! affect other callers.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -12,9 +12,9 @@
 use std::time::{Duration, Instant};
 use testbed::{CallOutcome, KEY, Request, System, SystemSpec, send, wait_for_rows};
 
-const WITHIN: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A system of one entry and one engine that serves.
+/// Starts one entry and one engine and waits until the engine is serving.
 fn system() -> System {
     let mut system = System::new(SystemSpec {
         entries: 1,
@@ -30,22 +30,22 @@
         "e1",
         "show backends where state = serving",
         1,
-        WITHIN,
+        TIMEOUT,
     )
     .unwrap();
     system
 }
 
 fn exchange(system: &System, request: &[u8]) -> String {
-    let mut stream = TcpStream::connect(system.caller_address("e1")).unwrap();
-    stream.set_read_timeout(Some(WITHIN)).unwrap();
+    let mut stream = TcpStream::connect(system.caller_addr("e1")).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     let _ = stream.write_all(request);
-    let mut answer = Vec::new();
-    let _ = stream.read_to_end(&mut answer);
-    String::from_utf8_lossy(&answer).into_owned()
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response);
+    String::from_utf8_lossy(&response).into_owned()
 }
 
-/// Headers and body of a request, its path, and the status due.
+/// Name, path, headers (`@` is a valid key), body, and the expected status.
 const CASES: [(&str, &str, &str, &str, u16); 13] = [
     ("no key", "/svc/notice-gen/x", "", "", 401),
     (
@@ -79,7 +79,7 @@
         400,
     ),
     (
-        "key that is none",
+        "invalid key",
         "/svc/notice-gen/x",
         "@Idempotency-Key: once\r\n",
         "",
@@ -93,14 +93,14 @@
         400,
     ),
     (
-        "deadline in words",
+        "deadline not a number",
         "/svc/notice-gen/x",
         "@X-Deadline-Ms: soon\r\n",
         "",
         400,
     ),
     (
-        "deadline of nothing",
+        "zero deadline",
         "/svc/notice-gen/x",
         "@X-Deadline-Ms: 0\r\n",
         "",
@@ -108,7 +108,7 @@
     ),
     ("body too large", "/svc/notice-gen/x", "@", "large", 413),
     (
-        "right",
+        "valid request",
         "/svc/notice-gen/x",
         "@",
         "{\"prompt\": \"q\", \"tokens\": 1}",
@@ -117,9 +117,9 @@
 ];
 
 #[gtest]
-fn bad_input_gets_a_clear_refusal() {
+fn invalid_requests_are_refused_with_a_reason() {
     let system = system();
-    for (what, path, headers, body, status) in CASES {
+    for (case, path, headers, body, status) in CASES {
         let auth = format!("Authorization: Bearer {KEY}\r\n");
         let headers = headers.replace('@', &auth);
         let body = if body == "large" {
@@ -133,24 +133,24 @@
              Content-Length: {length}\r\n{headers}\r\n{body}"
         );
 
-        let answer = exchange(&system, request.as_bytes());
+        let response = exchange(&system, request.as_bytes());
 
-        let line = answer.lines().next().unwrap_or("").to_string();
+        let line = response.lines().next().unwrap_or("").to_string();
         expect_that!(
             line,
             contains_substring(format!(" {status} ")),
-            "{what}: {answer}"
+            "{case}: {response}"
         );
         if status != 200 {
-            expect_that!(answer, contains_substring("x-verdict: not-run"), "{what}");
-            expect_that!(answer, contains_substring("\"reason\""), "{what}");
+            expect_that!(response, contains_substring("x-verdict: not-run"), "{case}");
+            expect_that!(response, contains_substring("\"reason\""), "{case}");
         }
     }
 }
 
-/// Raw bytes that are no HTTP, and the status due.
+/// Name, invalid HTTP, and the expected status.
 const MALFORMED: [(&str, &str, u16); 4] = [
-    ("no HTTP at all", "hello\r\n\r\n", 400),
+    ("not HTTP", "hello\r\n\r\n", 400),
     (
         "two lengths",
         "POST /svc/a/b HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
@@ -167,51 +167,55 @@
 #[gtest]
 fn malformed_http_is_refused() {
     let system = system();
-    for (what, raw, status) in MALFORMED {
+    for (case, raw, status) in MALFORMED {
         let raw = match raw {
             "large" => format!("GET / HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(40_000)),
             other => other.into(),
         };
 
-        let answer = exchange(&system, raw.as_bytes());
+        let response = exchange(&system, raw.as_bytes());
 
-        expect_that!(answer, contains_substring(format!(" {status} ")), "{what}");
+        expect_that!(
+            response,
+            contains_substring(format!(" {status} ")),
+            "{case}"
+        );
     }
 }
 
-/// Symptom: callers wait behind others that send nothing. Sequence: many connections
-/// with half a header, or half a body. Cause: a connection holds a thread, for ever.
+/// Guards against callers that wait behind stalled connections: many connections send half a
+/// header or half a body, and each occupies a thread forever.
 #[gtest]
-fn slow_callers_are_ended_and_cost_others_nothing() {
+fn stalled_connections_are_closed_without_delaying_others() {
     let system = system();
-    let halves = [
+    let partial = [
         "GET /healthz HTT",
         "POST /svc/a/b HTTP/1.1\r\nAuthorization: Bearer k\r\nContent-Length: 9\r\n\r\nhalf",
     ];
-    let slow: Vec<TcpStream> = (0..200)
+    let stalled: Vec<TcpStream> = (0..200)
         .map(|i| {
-            let mut stream = TcpStream::connect(system.caller_address("e1")).unwrap();
-            stream.write_all(halves[i % 2].as_bytes()).unwrap();
+            let mut stream = TcpStream::connect(system.caller_addr("e1")).unwrap();
+            stream.write_all(partial[i % 2].as_bytes()).unwrap();
             stream
         })
         .collect();
 
     let start = Instant::now();
     let request = Request {
-        entry: system.caller_address("e1"),
+        entry: system.caller_addr("e1"),
         service: "notice-gen".into(),
         prompt: "q".into(),
         key: None,
         tokens: 4,
         deadline_ms: None,
     };
-    let fate = send(&request);
-    let took = start.elapsed();
+    let outcome = send(&request);
+    let elapsed = start.elapsed();
 
-    expect_that!(fate, eq(&CallOutcome::Whole));
-    expect_that!(took, lt(Duration::from_secs(2)));
-    for mut stream in slow {
-        stream.set_read_timeout(Some(WITHIN)).unwrap();
+    expect_that!(outcome, eq(&CallOutcome::Whole));
+    expect_that!(elapsed, lt(Duration::from_secs(2)));
+    for mut stream in stalled {
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         let mut rest = Vec::new();
         expect_that!(stream.read_to_end(&mut rest), ok(anything()));
     }
--- a/crates/cli/tests/losses.rs
+++ b/crates/cli/tests/losses.rs
@@ -1,4 +1,4 @@
-//! Counting losses from logs.
+//! Tests of `losses`, which counts late and refused requests in log files.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -17,8 +17,8 @@
 
 #[googletest::test]
 fn losses_are_counted_by_time_and_cause() {
-    let folder = TempDir::new().unwrap();
-    let file = folder.path().join("g.log");
+    let directory = TempDir::new().unwrap();
+    let file = directory.path().join("g.log");
     std::fs::write(&file, LOG).unwrap();
 
     let output = Command::new(env!("CARGO_BIN_EXE_buckthornnotch"))
@@ -28,16 +28,16 @@
         .unwrap();
 
     let text = String::from_utf8(output.stdout).unwrap();
-    let counted = |text: &str| {
-        let words = |l: &str| l.split_whitespace().collect::<Vec<_>>().join(" ");
-        text.lines().map(words).collect::<Vec<_>>()
+    let normalized = |text: &str| {
+        let single_spaced = |l: &str| l.split_whitespace().collect::<Vec<_>>().join(" ");
+        text.lines().map(single_spaced).collect::<Vec<_>>()
     };
-    let rows = counted(&text);
-    let (windows, sums) = rows.split_at(rows.iter().position(|r| r == "in all").unwrap());
+    let rows = normalized(&text);
+    let (windows, totals) = rows.split_at(rows.iter().position(|r| r == "in all").unwrap());
     expect_that!(windows[0].as_str(), starts_with("0.0 s 3 #"));
     expect_that!(windows[4].as_str(), starts_with("2.0 s 2 #"));
     expect_that!(
-        sums[1..].to_vec(),
+        totals[1..].to_vec(),
         unordered_elements_are![
             eq("1 late: a pause"),
             eq("1 late: first event"),
--- a/crates/cli/tests/resting.rs
+++ b/crates/cli/tests/resting.rs
@@ -34,7 +34,7 @@
     let serving = "show backends where state = serving";
     wait_for_rows(&system, "e1", serving, 2, WITHIN).unwrap();
     let request = Request {
-        entry: system.caller_address("e1"),
+        entry: system.caller_addr("e1"),
         service: "notice-gen".into(),
         prompt: "q".into(),
         key: None,
@@ -45,7 +45,7 @@
     send(&request);
     let ran = |n: &&str| system.record(n).iter().any(|l| l.event == "start");
     let chosen = ["n1", "n2"].into_iter().find(ran).unwrap();
-    let order = format!("http://{}/fake/rest", system.fake_address(chosen));
+    let order = format!("http://{}/fake/rest", system.fake_addr(chosen));
     ureq::post(order).send(REST.as_secs().to_string()).unwrap();
 
     let began = Instant::now();
--- a/crates/cli/tests/scenarios.rs
+++ b/crates/cli/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! Runs every file of `tests/scenarios` as a test of its own. Few at a time: each is
-//! a system of a dozen processes, and leases are a matter of real time.
+//! Runs every file of `tests/scenarios` as a separate test. Only a few run in parallel: each starts
+//! about a dozen processes, and leases depend on real time.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -10,13 +10,13 @@
 use std::fs;
 use std::path::Path;
 
-const AT_A_TIME: usize = 3;
+const MAX_PARALLEL: usize = 3;
 
 fn main() {
     let mut args = Arguments::from_args();
-    args.test_threads = args.test_threads.or(Some(AT_A_TIME));
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios");
-    let mut files: Vec<_> = fs::read_dir(folder)
+    args.test_threads = args.test_threads.or(Some(MAX_PARALLEL));
+    let directory = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios");
+    let mut files: Vec<_> = fs::read_dir(directory)
         .unwrap()
         .flatten()
         .map(|entry| entry.path())
--- a/crates/cli/tests/testbed/expect.rs
+++ b/crates/cli/tests/testbed/expect.rs
@@ -12,7 +12,7 @@
 impl Scenario {
     pub(super) fn expect(&mut self, pair: Pair<'_, Rule>) -> StepResult {
         let rule = pair.as_rule();
-        let options = settings(pair.clone());
+        let opts = settings(pair.clone());
         let args: Vec<String> = words(pair.clone());
         match rule {
             Rule::called => self.expect_call(&args),
@@ -27,7 +27,7 @@
             }
             Rule::stopped => self.system.wait_for_exit(&args[0], time(&args[1])),
             Rule::idle => self.expect_idle(&args[0], time(&args[1])),
-            Rule::judged => self.check_outcomes(&options),
+            Rule::judged => self.check_outcomes(&opts),
             _ => self.expect_map(&args[0], time(&args[1])),
         }
     }
--- a/crates/cli/tests/testbed/operators.rs
+++ b/crates/cli/tests/testbed/operators.rs
@@ -18,7 +18,7 @@
         .timeout_global(Some(REQUEST_TIMEOUT))
         .build()
         .into();
-    let url = format!("http://{}/v1/command", system.operator_address(entry));
+    let url = format!("http://{}/v1/command", system.operator_addr(entry));
     let result = agent.post(url).send(body.to_string());
     let mut response = result.map_err(|e| e.to_string())?;
     let text = response
--- a/crates/cli/tests/testbed/run.rs
+++ b/crates/cli/tests/testbed/run.rs
@@ -196,7 +196,7 @@
         tokens: usize,
         deadline_ms: Option<u64>,
     ) -> Request {
-        let (entry, service) = (self.system.caller_address(entry), service.to_string());
+        let (entry, service) = (self.system.caller_addr(entry), service.to_string());
         Request {
             entry,
             service,
@@ -250,22 +250,16 @@
             .filter(|p| p.as_rule() == Rule::name)
             .map(Pair::as_str)
             .collect();
-        let text_of = |rule| {
+        let part = |rule| {
             parts
                 .iter()
                 .find(|p| p.as_rule() == rule)
                 .map_or("", |p| p.as_str())
         };
-        let number = text_of(Rule::number)
-            .parse()
-            .map_err(|_| "invalid command number")?;
+        let number = part(Rule::number).parse().map_err(|_| "invalid number")?;
         let entry = names.get(2).copied().unwrap_or("");
-        let refusal = self.command(
-            entry,
-            text_of(Rule::order),
-            Some((names[0], number, names[1])),
-        )?;
-        let outcome = text_of(Rule::outcome);
+        let refusal = self.command(entry, part(Rule::order), Some((names[0], number, names[1])))?;
+        let outcome = part(Rule::outcome);
         let reason = outcome.split('"').nth(1);
         check_refusal(&refusal, reason)
     }
@@ -287,9 +281,8 @@
         numbered: Option<(&str, u64, &str)>,
     ) -> StepResult<Option<String>> {
         self.last_number += 1;
-        let new_token = format!("t{}", self.last_number);
-        let (operator, number, token) =
-            numbered.unwrap_or(("scenario", self.last_number, &new_token));
+        let fresh = format!("t{}", self.last_number);
+        let (operator, number, token) = numbered.unwrap_or(("scenario", self.last_number, &fresh));
         let body = json!({ "operator": operator, "number": number, "token": token, "text": text });
         let start = Instant::now();
         loop {
@@ -320,7 +313,7 @@
         running
             .get(next)
             .cloned()
-            .ok_or_else(|| "no entry is running".into())
+            .ok_or_else(|| "no entry runs".into())
     }
 
     /// Polls a query at one entry, or at any running entry, until it returns `count` rows.
@@ -352,26 +345,23 @@
     }
 
     fn call(&mut self, pair: Pair<'_, Rule>) -> StepResult {
-        let options = settings(pair.clone());
+        let opts = settings(pair.clone());
         let w = words(pair);
         let (id, service, entry) = (w[0].clone(), w[1].clone(), w[2].clone());
-        let key = options.get("key").map(|name| {
-            let new_key = || uuid::Uuid::now_v7().to_string();
-            self.keys
-                .entry(name.clone())
-                .or_insert_with(new_key)
-                .clone()
+        let key = opts.get("key").map(|name| {
+            let fresh = || uuid::Uuid::now_v7().to_string();
+            self.keys.entry(name.clone()).or_insert_with(fresh).clone()
         });
-        let prompt = options.get("prompt").cloned().unwrap_or_else(|| id.clone());
-        let tokens = number(&options, "tokens", 8) as usize;
-        let deadline = options.get("deadline").map(|d| d.parse().unwrap());
+        let prompt = opts.get("prompt").cloned().unwrap_or_else(|| id.clone());
+        let tokens = number(&opts, "tokens", 8) as usize;
+        let deadline = opts.get("deadline").map(|d| d.parse().unwrap());
         let request = self.request(&entry, &service, prompt, key, tokens, deadline);
         self.calls.insert(id, thread::spawn(move || send(&request)));
         Ok(())
     }
 
     fn start_load(&mut self, pair: Pair<'_, Rule>) -> StepResult {
-        let options = settings(pair.clone());
+        let opts = settings(pair.clone());
         let names: Vec<String> = pair
             .into_inner()
             .filter(|p| p.as_rule() == Rule::name)
@@ -379,13 +369,13 @@
             .collect();
         let entries = names[1..]
             .iter()
-            .map(|e| self.system.caller_address(e))
+            .map(|e| self.system.caller_addr(e))
             .collect();
         let (rate, tokens) = (
-            number(&options, "rate", 20),
-            number(&options, "tokens", 8) as usize,
+            number(&opts, "rate", 20),
+            number(&opts, "tokens", 8) as usize,
         );
-        let keyed = number(&options, "keyed", 0) == 1;
+        let keyed = number(&opts, "keyed", 0) == 1;
         self.load = Some(Load::start(&names[0], entries, rate, tokens, keyed));
         Ok(())
     }
@@ -393,7 +383,7 @@
     fn fake(&mut self, words: &[String]) -> StepResult {
         let url = format!(
             "http://{}/fake/{}",
-            self.system.fake_address(&words[0]),
+            self.system.fake_addr(&words[0]),
             words[1]
         );
         let body = words.get(2).cloned().unwrap_or_default();
--- a/crates/cli/tests/testbed/system.rs
+++ b/crates/cli/tests/testbed/system.rs
@@ -19,7 +19,7 @@
 const CALLER_PORT: u16 = 7100;
 const OPERATOR_PORT: u16 = 7200;
 const FAKE_PORT: u16 = 7500;
-/// Steps of one second, so that a switch takes effect soon.
+/// Covers one second of steps, so that switches complete quickly.
 const GRANT_STEPS: u64 = 200;
 const DOMAINS: [&str; 3] = ["gulberg", "anarkali", "johar"];
 /// Key of the client account that all scenarios use.
@@ -125,24 +125,24 @@
         format!("{}:{port}", self.host(name))
     }
 
-    pub(crate) fn caller_address(&self, entry: &str) -> String {
+    pub(crate) fn caller_addr(&self, entry: &str) -> String {
         self.address(entry, CALLER_PORT)
     }
 
-    pub(crate) fn inbox_address(&self, process: &str) -> String {
+    pub(crate) fn inbox_addr(&self, process: &str) -> String {
         self.address(process, INBOX_PORT)
     }
 
     /// An address that no process of the system uses.
-    pub(crate) fn unused_address(&self, i: usize) -> String {
+    pub(crate) fn unused_addr(&self, i: usize) -> String {
         format!("{}.250:{}", self.ip, 7000 + 10 * i)
     }
 
-    pub(crate) fn operator_address(&self, process: &str) -> String {
+    pub(crate) fn operator_addr(&self, process: &str) -> String {
         self.address(process, OPERATOR_PORT)
     }
 
-    pub(crate) fn fake_address(&self, backend: &str) -> String {
+    pub(crate) fn fake_addr(&self, backend: &str) -> String {
         self.address(backend, FAKE_PORT)
     }
 
@@ -162,7 +162,7 @@
         }
         for i in 1..=self.spec.entries {
             let name = format!("e{i}");
-            let (callers, inbox) = (self.caller_address(&name), self.address(&name, INBOX_PORT));
+            let (callers, inbox) = (self.caller_addr(&name), self.address(&name, INBOX_PORT));
             let domain = DOMAINS[(i - 1) % DOMAINS.len()];
             text +=
                 &format!("create entry {name} domain={domain} callers={callers} inbox={inbox};\n");
@@ -194,7 +194,7 @@
         let name = format!("e{i}");
         let mut settings = self.settings(&name);
         settings["entry"] = json!({
-            "callers": self.caller_address(&name), "control": self.control_inboxes(),
+            "callers": self.caller_addr(&name), "control": self.control_inboxes(),
             "addresses_ttl_ms": self.spec.ttl_ms,
         });
         if self.spec.tls {
@@ -241,8 +241,8 @@
         .map(Into::into)
         .into();
         arguments.extend([
-            format!("--listen={}", self.fake_address(&backend)),
-            format!("--agent={}", self.operator_address(&agent)),
+            format!("--listen={}", self.fake_addr(&backend)),
+            format!("--agent={}", self.operator_addr(&agent)),
             format!("--record={}", self.record_path(&backend).display()),
             format!("--capacity={}", self.spec.capacity),
         ]);
@@ -263,7 +263,7 @@
         json!({
             "id": name, "domain": DOMAINS[(index(name) - 1) % DOMAINS.len()],
             "inbox": self.address(name, INBOX_PORT), "listen": self.address(name, LISTEN_PORT),
-            "operators": self.operator_address(name),
+            "operators": self.operator_addr(name),
             "log": { "level": "info", "events": self.path(&format!("{name}.events")) },
         })
     }
--- a/crates/cli/tests/tls.rs
+++ b/crates/cli/tests/tls.rs
@@ -1,5 +1,5 @@
-//! Keys travel by TLS where a certificate is set: callers and operators get in with it,
-//! and nothing is answered in the clear.
+//! Where a certificate is configured, callers and operators connect over TLS and plaintext
+//! connections are not answered, so that keys are always encrypted.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 use testbed::{System, SystemSpec};
 
-const WITHIN: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn ctl(system: &System, with_ca: bool, text: &str) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_buckthornnotch"));
@@ -21,12 +21,12 @@
         command.arg("--ca").arg(system.certificate());
     }
     command
-        .args(["ctl", "--at", &system.operator_address("e1"), text])
+        .args(["ctl", "--at", &system.operator_addr("e1"), text])
         .output()
         .unwrap()
 }
 
-/// One entry with a certificate, ready for commands.
+/// Starts one entry with a certificate and waits until it accepts commands.
 fn system() -> System {
     let mut system = System::new(SystemSpec {
         entries: 1,
@@ -36,27 +36,30 @@
     });
     system.start("e1");
     let start = Instant::now();
-    // The entry is listed once it holds a lease.
+    // The entry is listed as soon as it holds a lease.
     while !String::from_utf8_lossy(&ctl(&system, true, "show entries").stdout).contains("e1") {
-        assert!(start.elapsed() < WITHIN, "not ready");
+        assert!(
+            start.elapsed() < TIMEOUT,
+            "entry not ready within {TIMEOUT:?}"
+        );
         std::thread::sleep(Duration::from_millis(50));
     }
     system
 }
 
 #[gtest]
-fn operators_and_callers_connect_by_tls() {
+fn operators_and_callers_connect_over_tls() {
     let system = system();
 
-    let shown = ctl(&system, true, "show entries");
-    let demo = Command::new(env!("CARGO_BIN_EXE_buckthornnotch"))
+    let listing = ctl(&system, true, "show entries");
+    let bench = Command::new(env!("CARGO_BIN_EXE_buckthornnotch"))
         .arg("--ca")
         .arg(system.certificate())
         .args([
             "bench",
             "load",
             "--ask",
-            &system.caller_address("e1"),
+            &system.caller_addr("e1"),
             "--rate",
             "5",
             "--seconds",
@@ -66,34 +69,34 @@
         .unwrap();
 
     expect_that!(
-        String::from_utf8_lossy(&shown.stdout),
+        String::from_utf8_lossy(&listing.stdout),
         contains_substring("e1")
     );
-    // Without a backend server every request is refused, by TLS.
+    // There is no backend server, so every request is refused, over TLS.
     expect_that!(
-        String::from_utf8_lossy(&demo.stdout),
+        String::from_utf8_lossy(&bench.stdout),
         contains_substring("not-run (503)")
     );
 }
 
-/// Symptom: a key can be read on the wire. Sequence: a caller or operator connects
-/// without TLS, or trusts nobody. Cause: the port still answers in the clear.
+/// Guards against keys that can be read on the network: a caller or operator connects without TLS,
+/// or trusts no certificate, and the port still answers in plaintext.
 #[gtest]
-fn nothing_is_answered_in_the_clear() {
+fn plaintext_connections_are_not_answered() {
     let system = system();
 
     let plain = ctl(&system, false, "show entries");
-    let mut stream = TcpStream::connect(system.caller_address("e1")).unwrap();
-    stream.set_read_timeout(Some(WITHIN)).unwrap();
+    let mut stream = TcpStream::connect(system.caller_addr("e1")).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     stream
         .write_all(b"GET /v1/addresses HTTP/1.1\r\nHost: e1\r\n\r\n")
         .unwrap();
-    let mut answer = Vec::new();
-    let _ = stream.read_to_end(&mut answer);
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response);
 
     expect_false!(plain.status.success());
     expect_that!(
-        String::from_utf8_lossy(&answer),
+        String::from_utf8_lossy(&response),
         not(contains_substring("HTTP/1.1 200"))
     );
 }
