--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,8 +1,8 @@
 //! One try of a request at one backend server, up to the head of its answer.
 
-use crate::asked;
+use crate::context::{Ticket, text};
+use crate::feedback;
 use crate::shared::Shared;
-use crate::ticket::{Ticket, text};
 use bn_platform::header;
 use bn_route::{LoadReport, Server};
 use bn_serve::client::{self, Connection};
@@ -129,7 +129,7 @@
     let headers = response.headers();
     tell_load(shared, &seat.server, headers);
     let status = response.status().as_u16();
-    asked::note(shared, ticket, &seat.server, sent, &response);
+    feedback::note(shared, ticket, &seat.server, sent, &response);
     if status == 421 {
         // Only one that says it is the one expected has another reason.
         let expected = text(headers, header::SERVER) == Some(&seat.server.id);
--- a/crates/gateway/src/offer.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -3,10 +3,10 @@
 
 use crate::answer::{Refusal, Verdict};
 use crate::attempt::{self, Head, Outcome, Word};
-use crate::place;
+use crate::context::Ticket;
+use crate::placement;
 use crate::shared::Shared;
 use crate::suspects::{self, Run, Trial};
-use crate::ticket::Ticket;
 use bn_quarantine::to_text;
 use bn_route::ServerId;
 use serde_json::json;
@@ -56,7 +56,7 @@
 ) -> Result<Box<Head>, Refusal> {
     loop {
         suspects::refuse_known(shared, ticket).map_err(|refusal| tries.end(refusal))?;
-        let seat = place::seat(shared, ticket, &tries.tried).await;
+        let seat = placement::seat(shared, ticket, &tries.tried).await;
         let seat = seat.map_err(|refusal| tries.end(refusal))?;
         // It waited for its place, and more may be known of it by now.
         let admitted = suspects::admit(shared, ticket, tries).await;
@@ -80,7 +80,7 @@
                 if tries.unsent >= MOST_UNSENT {
                     let later = Refusal::later(
                         "no backend server reached",
-                        place::back_after(shared, ticket),
+                        placement::back_after(shared, ticket),
                     );
                     return Err(tries.end(later));
                 }
@@ -155,10 +155,10 @@
     word: Word,
 ) -> Result<(), Refusal> {
     let (outcome, reason) = match word {
-        Word::Full => ("full", place::FULL),
+        Word::Full => ("full", placement::FULL),
         Word::Elsewhere => ("elsewhere", "the backend server is gone"),
         Word::Misfit => ("misfit", "the backend server serves no such request"),
-        Word::Stalled => ("stalled", place::STILL),
+        Word::Stalled => ("stalled", placement::STILL),
     };
     note(shared, ticket, id, "not_run", outcome);
     let unserved = matches!(word, Word::Elsewhere | Word::Misfit);
@@ -184,7 +184,10 @@
     };
     match left && shared.may_retry(&ticket.service) {
         true => Ok(()),
-        false => Err(tries.end(Refusal::later(reason, place::back_after(shared, ticket)))),
+        false => Err(tries.end(Refusal::later(
+            reason,
+            placement::back_after(shared, ticket),
+        ))),
     }
 }
 
--- a/crates/gateway/src/asked.rs
+++ b/crates/gateway/src/feedback.rs
@@ -1,7 +1,7 @@
 //! What backend servers ask for with the heads of their answers.
 
+use crate::context::{Ticket, text};
 use crate::shared::Shared;
-use crate::ticket::{Ticket, text};
 use bn_backpressure::{Directives, Feedback};
 use bn_platform::{asked as format, header};
 use bn_registry::Record;
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/frontend.rs
@@ -1,10 +1,10 @@
 //! The callers' side: takes a request in, has it served, answers.
 
 use crate::answer::Refusal;
-use crate::offer::{self, Tries};
+use crate::context::{Denial, Ticket};
+use crate::dispatch::{self, Tries};
 use crate::shared::{Flight, Shared};
-use crate::ticket::{Denial, Ticket};
-use crate::{place, plain, stream, ticket};
+use crate::{context, placement, plain, stream};
 use bn_directory::ANSWER_TTL;
 use bn_platform::call::{self, Call};
 use bn_serve::{Body, BodyFault, text, whole_body};
@@ -31,9 +31,11 @@
     let now = shared.now();
     // A process that has just started learns the configuration in a second or two. Who is refused
     // meanwhile comes back once at most, mostly too early, and gets no answer at all.
-    let wait = ticket::deadline(&parts.headers);
+    let wait = context::deadline(&parts.headers);
     let hold = wait.mul_f64(PLAN_PART);
-    let plan = shared.plan_by(now + hold.min(place::LONGEST_HOLD)).await;
+    let plan = shared
+        .plan_by(now + hold.min(placement::LONGEST_HOLD))
+        .await;
     let taken = Ticket::new(now, plan.as_deref(), parts, |sum| {
         rand::random_range(0..sum.max(1))
     });
@@ -113,7 +115,7 @@
 fn denied(shared: &Shared, denial: Denial, wait: Duration) -> Response<Body> {
     let refusal = match denial {
         Denial::Unsettled => {
-            let latest = place::latest_back(wait.mul_f64(1.0 - PLAN_PART));
+            let latest = placement::latest_back(wait.mul_f64(1.0 - PLAN_PART));
             Refusal::later("no configuration is known yet", latest)
         }
         Denial::Route => Refusal::wrong(404, "no route matches"),
@@ -127,7 +129,7 @@
 }
 
 fn refused(shared: &Shared, ticket: &Ticket, refusal: &Refusal) -> Response<Body> {
-    let verdict = offer::verdict(refusal);
+    let verdict = dispatch::verdict(refusal);
     let (room, waiting) = shared.room_of(&ticket.service);
     shared.lines.put(
         "refused",
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,26 +1,26 @@
 //! The gateway process: takes callers' requests and sends them to backend servers itself.
 //!
-//! `front` takes a request in, `place` finds it a backend server, `attempt` sends it
+//! `frontend` takes a request in, `placement` finds it a backend server, `attempt` sends it
 //! there over pooled connections, `plain` and `stream` bring the answer back; `link` hears from the
 //! coordinators what is settled and which backend servers there are, `suspects` keeps requests that
 //! end backend servers from ending more.
 
 mod answer;
-mod asked;
 mod attempt;
 mod cases;
+mod context;
+mod dispatch;
 mod events;
-mod front;
+mod feedback;
+mod frontend;
 mod link;
-mod offer;
-mod place;
+mod placement;
 mod plain;
 mod shared;
 mod sources;
 mod start;
 mod stream;
 mod suspects;
-mod ticket;
 
 pub use events::Splitter;
 pub use sources::{Heard, Position, Sources, Telling};
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -3,7 +3,7 @@
 //! Every coordinator is asked in turn, again and again; what any of them tells is taken if it is
 //! newer. A gateway that reaches none goes on with what it holds.
 
-use crate::asked;
+use crate::feedback;
 use crate::shared::Shared;
 use crate::sources::{Sources, Telling};
 use crate::suspects::Report;
@@ -321,7 +321,7 @@
             }
         }
         drop(state);
-        asked::learn(&self.shared, &record, source);
+        feedback::learn(&self.shared, &record, source);
         if let Some(address) = record.address.filter(|_| again) {
             self.shared.pool.forget(address);
         }
--- a/crates/gateway/src/place.rs
+++ b/crates/gateway/src/placement.rs
@@ -8,8 +8,8 @@
 
 use crate::answer::Refusal;
 use crate::attempt::Seat;
+use crate::context::Ticket;
 use crate::shared::{Shared, State};
-use crate::ticket::Ticket;
 use bn_limit::QueuedRequest;
 use bn_route::{FillController, PickArgs, ServerId, Unavailable, Unit, fill_limit_for};
 use indexmap::IndexMap;
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -3,10 +3,10 @@
 
 use crate::answer::Refusal;
 use crate::attempt::{self, Head};
-use crate::offer::{self, Tries};
+use crate::context::{Ticket, strip_hop};
+use crate::dispatch::{self, Tries};
 use crate::shared::Shared;
 use crate::suspects::{self, Run};
-use crate::ticket::{Ticket, strip_hop};
 use bn_platform::header;
 use bn_serve::Body;
 use http_body_util::{BodyExt, Full, Limited};
@@ -32,7 +32,7 @@
 ) -> Result<Response<Body>, Refusal> {
     let mut spare: Option<Whole> = None;
     loop {
-        let head = match offer::offer(shared, ticket, tries, None).await {
+        let head = match dispatch::offer(shared, ticket, tries, None).await {
             Ok(head) => head,
             // A backend server's own failure says more than ours.
             Err(refusal) => return spare.map(response).ok_or(refusal),
@@ -45,9 +45,9 @@
                 if flaw == Flaw::Broke {
                     suspects::lost(shared, ticket, tries, &run, false);
                 }
-                offer::note(shared, ticket, &id, "cut", "the answer broke off");
-                offer::fail(shared, &id, false);
-                if offer::again(shared, ticket, tries) {
+                dispatch::note(shared, ticket, &id, "cut", "the answer broke off");
+                dispatch::fail(shared, &id, false);
+                if dispatch::again(shared, ticket, tries) {
                     continue;
                 }
                 let lost = Refusal::unknown(502, "the answer broke off");
@@ -62,9 +62,9 @@
             return Ok(response(whole));
         }
         let status = whole.parts.status.as_str().to_string();
-        offer::note(shared, ticket, &id, "failed", &status);
-        offer::fail(shared, &id, false);
-        if !offer::again(shared, ticket, tries) {
+        dispatch::note(shared, ticket, &id, "failed", &status);
+        dispatch::fail(shared, &id, false);
+        if !dispatch::again(shared, ticket, tries) {
             return Ok(response(whole));
         }
         spare = Some(whole);
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -2,7 +2,7 @@
 
 use crate::link::Link;
 use crate::shared::Shared;
-use crate::{ListenSnafu, Result, RuntimeSnafu, front};
+use crate::{ListenSnafu, Result, RuntimeSnafu, frontend};
 use bn_conf::{Gateway as Conf, Settings};
 use bn_net::Net;
 use bn_route::RetryAllowance;
@@ -98,9 +98,9 @@
     let thread = std::thread::spawn(move || {
         runtime.block_on(async move {
             tokio::spawn(link.run(inbox, reported));
-            tokio::spawn(serve_pages(running.clone(), ready, front::readiness));
+            tokio::spawn(serve_pages(running.clone(), ready, frontend::readiness));
             if let Some(directory) = directory {
-                tokio::spawn(serve_pages(running.clone(), directory, front::directory));
+                tokio::spawn(serve_pages(running.clone(), directory, frontend::directory));
             }
             let accepting = tokio::spawn(serve_callers(running.clone(), callers));
             until_stopped(&running, grace, || accepting.abort()).await;
@@ -120,7 +120,7 @@
         ..Bounds::default()
     };
     let closing = shared.closing.subscribe();
-    let handle = move |request| front::answer(shared.clone(), request);
+    let handle = move |request| frontend::answer(shared.clone(), request);
     if let Err(e) = bn_serve::accept(listener, None, bounds, closing, handle).await {
         log::error!("callers: {e}");
     }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -4,12 +4,12 @@
 
 use crate::answer::Refusal;
 use crate::attempt::Head;
+use crate::context::{Ticket, strip_hop};
+use crate::dispatch::{self, Tries};
 use crate::events::{LARGEST_EVENT, Splitter};
-use crate::offer::{self, Tries};
 use crate::plain;
 use crate::shared::{Flight, Shared};
 use crate::suspects::{self, Run};
-use crate::ticket::{Ticket, strip_hop};
 use bn_platform::header;
 use bn_route::Server;
 use bn_serve::Body;
@@ -39,7 +39,7 @@
     mut tries: Tries,
     flight: Flight,
 ) -> Result<Response<Body>, Refusal> {
-    let offered = offer::offer(shared, ticket, &mut tries, None);
+    let offered = dispatch::offer(shared, ticket, &mut tries, None);
     let head = match tokio::time::timeout(ticket.left(shared.now()), offered).await {
         Ok(head) => head?,
         Err(_) => return Err(tries.timed_out()),
@@ -198,7 +198,7 @@
                     drop(body);
                     self.lost(&run, false);
                     self.note("stream_broken", &id, why);
-                    offer::fail(&self.shared, &id, false);
+                    dispatch::fail(&self.shared, &id, false);
                     match self.resume().await {
                         Some(next) => (body, source) = next,
                         None => return self.cut().await,
@@ -252,12 +252,12 @@
     /// Goes on at another backend server after the last whole event.
     async fn resume(&mut self) -> Option<(Incoming, Source)> {
         self.splitter.drop_part();
-        if !offer::again(&self.shared, &self.ticket, &self.tries) {
+        if !dispatch::again(&self.shared, &self.ticket, &self.tries) {
             return None;
         }
         let from = self.splitter.last_id().map(str::to_string);
         let left = self.ticket.left(self.shared.now());
-        let offered = offer::offer(&self.shared, &self.ticket, &mut self.tries, from.as_deref());
+        let offered = dispatch::offer(&self.shared, &self.ticket, &mut self.tries, from.as_deref());
         let head = tokio::select! {
             head = tokio::time::timeout(left, offered) => head.ok()?.ok()?,
             () = self.pieces.closed() => return None,
@@ -282,7 +282,7 @@
 
     fn note(&self, event: &str, server: &str, why: &str) {
         let in_time = self.timing.in_time(&self.ticket.route);
-        if event == "stream_whole" && in_time && !crate::front::sampled() {
+        if event == "stream_whole" && in_time && !crate::frontend::sampled() {
             return;
         }
         let millis = |d: Duration| d.as_millis() as u64;
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -2,10 +2,10 @@
 //! runs that were lost, and whether a request may be sent.
 
 use crate::answer::Refusal;
-use crate::offer::Tries;
-use crate::place;
+use crate::context::Ticket;
+use crate::dispatch::Tries;
+use crate::placement;
 use crate::shared::{Inner, Shared};
-use crate::ticket::Ticket;
 use bn_quarantine::{CaseStatus, Digest, LostRun, NextStep, Start, Termination, to_text};
 use bn_route::Server;
 use bn_serve::client::{self, Connection};
@@ -126,7 +126,7 @@
         json!({ "request": ticket.id, "digest": to_text(digest), "granted": granted }),
     );
     if !granted {
-        return Err(Refusal::later(TRIED, place::back_after(shared, ticket)));
+        return Err(Refusal::later(TRIED, placement::back_after(shared, ticket)));
     }
     metrics::counter!("suspects_tried_total").increment(1);
     let shared = shared.clone();
