--- a/crates/fleet/src/coordinator.rs
+++ b/crates/fleet/src/coordinator.rs
@@ -2,7 +2,7 @@
 
 use crate::tally::Tally;
 use bn_coordinator::Subscribers;
-use bn_gateway::{Position, Telling};
+use bn_gateway::{PollState, UpdateRange};
 use bn_registry::{Cursor, Record, Registry};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -25,7 +25,7 @@
 /// The same news for some gateways.
 pub(crate) struct Push {
     pub(crate) inboxes: Vec<SocketAddr>,
-    pub(crate) telling: Telling,
+    pub(crate) telling: UpdateRange,
     pub(crate) changed: Rc<[Record]>,
 }
 
@@ -82,15 +82,15 @@
     pub(crate) fn answer(
         &mut self,
         gateway: SocketAddr,
-        position: Position,
-    ) -> (Telling, Rc<[Record]>) {
-        if position.brief {
+        position: PollState,
+    ) -> (UpdateRange, Rc<[Record]>) {
+        if position.omit_registrations {
             self.subscribers.drop(gateway);
             return (self.telling(0, 0), Rc::default());
         }
         // A mark of an earlier start says nothing of this one.
         let known = match position.incarnation == self.incarnation {
-            true => position.mark,
+            true => position.cursor,
             false => 0,
         };
         let mark = self.registry.cursor();
@@ -99,10 +99,10 @@
         (self.telling(known, mark), changed.into())
     }
 
-    fn telling(&self, after: Cursor, mark: Cursor) -> Telling {
-        Telling {
+    fn telling(&self, after: Cursor, mark: Cursor) -> UpdateRange {
+        UpdateRange {
             incarnation: self.incarnation,
-            mark,
+            cursor: mark,
             after,
         }
     }
--- a/crates/fleet/src/gateway.rs
+++ b/crates/fleet/src/gateway.rs
@@ -2,7 +2,7 @@
 
 use crate::tally::Tally;
 use crate::world::gateway_inbox;
-use bn_gateway::{Position, Sources, Telling};
+use bn_gateway::{PollState, Sources, UpdateRange};
 use bn_registry::{BackendId, Record};
 use indexmap::IndexMap;
 use std::net::SocketAddr;
@@ -36,13 +36,13 @@
     }
 
     /// Whom it asks now, and what.
-    pub(crate) fn ask(&mut self, now: Duration) -> Option<(SocketAddr, Position)> {
+    pub(crate) fn ask(&mut self, now: Duration) -> Option<(SocketAddr, PollState)> {
         if now < self.due {
             return None;
         }
-        self.due = now + self.sources.gap();
-        let to = self.sources.turn()?;
-        Some((to, self.sources.asked(to)))
+        self.due = now + self.sources.poll_interval();
+        let to = self.sources.next_poll()?;
+        Some((to, self.sources.on_poll(to)))
     }
 
     /// A coordinator tells.
@@ -50,10 +50,10 @@
         &mut self,
         now: Duration,
         from: SocketAddr,
-        telling: Telling,
+        telling: UpdateRange,
         records: &[Record],
     ) {
-        self.sources.heard(from, telling);
+        self.sources.on_update(from, telling);
         for record in records {
             let new = Held {
                 copies: 0,
--- a/crates/fleet/src/mail.rs
+++ b/crates/fleet/src/mail.rs
@@ -1,6 +1,6 @@
 //! Messages between the processes of the model, and their size on a link.
 
-use bn_gateway::{Position, Telling};
+use bn_gateway::{PollState, UpdateRange};
 use bn_registry::Record;
 use bn_wire::messages::envelope::Body;
 use bn_wire::messages::{Envelope, News, NewsAsk, Registration, Role};
@@ -15,13 +15,13 @@
     Ask {
         gateway: usize,
         coordinator: usize,
-        position: Position,
+        position: PollState,
     },
     /// A coordinator answers a gateway, or pushes.
     News {
         coordinator: usize,
         gateway: usize,
-        telling: Telling,
+        telling: UpdateRange,
         changed: Rc<[Record]>,
     },
     /// One coordinator tells another.
@@ -33,15 +33,15 @@
 }
 
 /// Bytes of an ask.
-pub(crate) fn ask_size(gateway: SocketAddr, position: &Position) -> u64 {
+pub(crate) fn ask_size(gateway: SocketAddr, position: &PollState) -> u64 {
     let ask = NewsAsk {
         callers: gateway.to_string(),
         domain: "domain-1".into(),
         ready: true,
         version: 1,
         source: position.incarnation,
-        mark: position.mark,
-        brief: position.brief,
+        mark: position.cursor,
+        brief: position.omit_registrations,
         named: 1 << 31,
         ..NewsAsk::default()
     };
@@ -52,12 +52,12 @@
 pub(crate) fn news_size(
     from: SocketAddr,
     coordinators: &[SocketAddr],
-    telling: &Telling,
+    telling: &UpdateRange,
     changed: &[Record],
 ) -> u64 {
     let news = News {
         version: 1,
-        mark: telling.mark,
+        mark: telling.cursor,
         after: telling.after,
         coordinators: coordinators.iter().map(ToString::to_string).collect(),
         gateways: 24,
--- a/crates/fleet/src/world.rs
+++ b/crates/fleet/src/world.rs
@@ -5,7 +5,7 @@
 use crate::mail::{Mail, ask_size, news_size};
 use crate::tally::{Load, Tally, busiest};
 use bn_backpressure::Limit;
-use bn_gateway::Position;
+use bn_gateway::PollState;
 use bn_registry::{Condition, Record};
 use indexmap::IndexMap;
 use rand::rngs::SmallRng;
@@ -271,13 +271,13 @@
                 let inbox = coordinator_inbox(coordinator);
                 if let Some(gateway) = self.gateways.get_mut(gateway) {
                     gateway.take(now, inbox, telling, &changed);
-                    gateway.sources.follow(&self.inboxes);
+                    gateway.sources.set_members(&self.inboxes);
                 }
             }
         }
     }
 
-    fn answer(&mut self, gateway: usize, at: usize, position: Position) {
+    fn answer(&mut self, gateway: usize, at: usize, position: PollState) {
         let Some(coordinator) = self.coordinators.get_mut(at).filter(|c| !c.stopped) else {
             return;
         };
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -1,4 +1,4 @@
-//! The gateway's own answers. None bears a backend server's signature.
+//! Responses that the gateway generates itself. None carries a backend server's signature.
 
 use bn_platform::header;
 use bn_serve::{Body, text};
@@ -13,23 +13,23 @@
 pub(crate) enum Verdict {
     /// It has not run and never will.
     NotRun,
-    /// It was sent, and nobody said that it did not run.
+    /// It was sent, and no backend server reported that it did not run.
     MayHaveRun,
 }
 
-/// Why a request gets no answer of a backend server.
+/// Why a request gets no response from a backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Refusal {
     pub(crate) verdict: Verdict,
     pub(crate) status: u16,
     pub(crate) reason: &'static str,
-    /// When to come back; only for what has not run.
+    /// When to retry; only for requests that have not run.
     pub(crate) retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// Not run, and coming back makes sense.
-    pub(crate) fn later(reason: &'static str, after: Duration) -> Refusal {
+    /// Not run; a retry may succeed.
+    pub(crate) fn retryable(reason: &'static str, after: Duration) -> Refusal {
         Refusal {
             verdict: Verdict::NotRun,
             status: 503,
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Not run, and wrong in itself.
-    pub(crate) fn wrong(status: u16, reason: &'static str) -> Refusal {
+    /// Not run; no time for a retry is given.
+    pub(crate) fn not_retryable(status: u16, reason: &'static str) -> Refusal {
         Refusal {
             verdict: Verdict::NotRun,
             status,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Sent, with an unknown end. The statuses that promise not-run are out of question.
+    /// Sent, with an unknown outcome. Statuses that promise that it has not run must not be used.
     pub(crate) fn unknown(status: u16, reason: &'static str) -> Refusal {
         Refusal {
             verdict: Verdict::MayHaveRun,
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,6 +1,6 @@
-//! One try of a request at one backend server, up to the head of its answer.
+//! One attempt of a request at one backend server, up to the headers of the response.
 
-use crate::context::{Ticket, text};
+use crate::context::{RequestContext, text};
 use crate::feedback;
 use crate::shared::Shared;
 use bn_platform::header;
@@ -12,77 +12,79 @@
 use hyper::{Request, Response};
 use std::time::Duration;
 
-/// Backend servers know ranks up to this one.
-const LAST_RANK: u32 = 9;
+/// Largest priority value that backend servers know.
+const MAX_PRIORITY: u32 = 9;
 
-/// A place at a backend server, given back when dropped.
-pub(crate) struct Seat {
+/// A reserved slot at a backend server, released on drop.
+pub(crate) struct SlotReservation {
     shared: Shared,
     pub(crate) server: Server,
 }
 
-impl Seat {
-    pub(crate) fn new(shared: &Shared, server: Server) -> Seat {
+impl SlotReservation {
+    pub(crate) fn new(shared: &Shared, server: Server) -> SlotReservation {
         let shared = shared.clone();
-        Seat { shared, server }
+        SlotReservation { shared, server }
     }
 }
 
-impl Drop for Seat {
+impl Drop for SlotReservation {
     fn drop(&mut self) {
         let Server { id, start_time, .. } = &self.server;
         self.shared.state().fleet.record_end(id, *start_time);
-        self.shared.room.notify_waiters();
+        self.shared.capacity_freed.notify_waiters();
     }
 }
 
-/// What came of sending a request.
+/// Result of sending a request.
 pub(crate) enum Outcome {
-    /// The head of an answer that is surely to this request.
+    /// The headers of a response that certainly belongs to this request.
     Head(Box<Head>),
-    /// Nobody was reached: no byte left.
+    /// No backend server was reached: no byte was sent.
     NotSent(&'static str),
-    /// The backend server wants no request now, as it said since it was picked: no byte left.
+    /// Since it was picked, the backend server has directed that it wants no request now: no byte
+    /// was sent.
     Withheld,
     /// The backend server says that it did not run it.
-    NotRun(Word),
-    /// A byte left, and the connection broke before a word came back.
-    Broke,
-    /// A byte left, and what came back answers another request.
-    Foreign,
+    NotRun(NotRunReason),
+    /// At least one byte was sent, and the connection broke before a response.
+    ConnectionLost,
+    /// At least one byte was sent, and the response received belongs to another request.
+    Mismatched,
 }
 
-/// A backend server's word that it did not run a request.
+/// Why a backend server says that it did not run a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Word {
-    /// It has no room, or the request came too late for its queue.
+pub(crate) enum NotRunReason {
+    /// It has no free capacity, or the request came too late for its queue.
     Full,
-    /// Another one has its address now.
-    Elsewhere,
-    /// It serves no such request, though it is the one expected: it is registered for a
-    /// service of groups, say, and belongs to none.
-    Misfit,
-    /// It depends on another one that is gone.
+    /// Another backend server has its address now.
+    AddressReused,
+    /// It does not serve such requests, though it is the expected backend server: for example, it
+    /// is registered for a service of groups and belongs to no group.
+    NotServed,
+    /// It depends on another backend server that is gone.
     Stalled,
 }
 
-/// Head of an answer, with the connection that its body comes on.
+/// Headers of a response, with the connection that its body arrives on.
 pub(crate) struct Head {
     pub(crate) response: Response<Incoming>,
     pub(crate) connection: Connection,
-    pub(crate) seat: Seat,
+    pub(crate) reservation: SlotReservation,
 }
 
-/// Sends a request to the backend server of `seat`; `last_event` makes it go on after
-/// that event.
+/// Sends a request to the backend server of `reservation`; with `last_event`, the stream resumes
+/// after that event.
 pub(crate) async fn send(
     shared: &Shared,
-    ticket: &Ticket,
-    seat: Seat,
+    ctx: &RequestContext,
+    reservation: SlotReservation,
     last_event: Option<&str>,
 ) -> Outcome {
-    let address = seat.server.address;
-    // A connection that turns out closed before a byte left is replaced by a new one.
+    let address = reservation.server.address;
+    // A pooled connection that turns out to be closed before a byte was sent is replaced by a new
+    // one.
     let mut idle = shared.pool.idle(shared.now(), address);
     let mut connection = loop {
         let connection = match idle.take() {
@@ -90,7 +92,7 @@
             None => match client::open(address).await {
                 Ok(connection) => connection,
                 Err(e) => {
-                    log::debug!("{}: {e}", seat.server.id);
+                    log::debug!("connecting to {} failed: {e}", reservation.server.id);
                     return Outcome::NotSent("no connection");
                 }
             },
@@ -100,95 +102,99 @@
         }
     };
     let now = shared.now();
-    // Its place was found before the waits for a word and a connection, and in that time others
-    // heard what this backend server asks for.
-    if !shared.state().fleet.may_send(now, &seat.server) {
+    // The slot was reserved before the waits for the leader's answer and the connection; meanwhile,
+    // other requests may have received directives of this backend server.
+    if !shared.state().fleet.may_send(now, &reservation.server) {
         return Outcome::Withheld;
     }
-    let request = request(now, ticket, &seat.server, last_event);
+    let request = request(now, ctx, &reservation.server, last_event);
     let sent = connection.sender.try_send_request(request).await;
     match sent {
-        Ok(response) => judge(shared, ticket, now, response, connection, seat),
-        // The request came back whole: no byte of it was written.
+        Ok(response) => classify(shared, ctx, now, response, connection, reservation),
+        // The request was returned intact: no byte of it was written.
         Err(e) if e.message().is_some() => Outcome::NotSent("connection closed before sending"),
         Err(e) => {
-            log::debug!("{}: {}", seat.server.id, e.error());
-            Outcome::Broke
+            log::debug!("sending to {} failed: {}", reservation.server.id, e.error());
+            Outcome::ConnectionLost
         }
     }
 }
 
-fn judge(
+fn classify(
     shared: &Shared,
-    ticket: &Ticket,
+    ctx: &RequestContext,
     sent: Duration,
     response: Response<Incoming>,
     connection: Connection,
-    seat: Seat,
+    reservation: SlotReservation,
 ) -> Outcome {
     let headers = response.headers();
-    tell_load(shared, &seat.server, headers);
+    record_load(shared, &reservation.server, headers);
     let status = response.status().as_u16();
-    feedback::note(shared, ticket, &seat.server, sent, &response);
+    feedback::record(shared, ctx, &reservation.server, sent, &response);
     if status == 421 {
-        // Only one that says it is the one expected has another reason.
-        let expected = text(headers, header::SERVER) == Some(&seat.server.id);
+        // Only a backend server that identifies itself as the expected one has another reason.
+        let expected = text(headers, header::SERVER) == Some(&reservation.server.id);
         return Outcome::NotRun(match expected {
-            true => Word::Misfit,
-            false => Word::Elsewhere,
+            true => NotRunReason::NotServed,
+            false => NotRunReason::AddressReused,
         });
     }
     if headers.contains_key(header::NOT_RUN) {
         return Outcome::NotRun(match headers.contains_key(header::AT_FAULT) {
-            true => Word::Stalled,
-            false => Word::Full,
+            true => NotRunReason::Stalled,
+            false => NotRunReason::Full,
         });
     }
-    // An extra answer to an earlier request may lie where this one is expected.
-    if text(headers, header::ATTEMPT) != Some(&ticket.id) {
-        return Outcome::Foreign;
+    // A surplus response to an earlier request may arrive on the connection where this one is
+    // expected.
+    if text(headers, header::ATTEMPT) != Some(&ctx.id) {
+        return Outcome::Mismatched;
     }
     Outcome::Head(Box::new(Head {
         response,
         connection,
-        seat,
+        reservation,
     }))
 }
 
-fn tell_load(shared: &Shared, server: &Server, headers: &HeaderMap) {
-    let told = text(headers, header::LOAD).and_then(bn_platform::load);
-    if let Some(load) = told {
-        let told = LoadReport {
+fn record_load(shared: &Shared, server: &Server, headers: &HeaderMap) {
+    let report = text(headers, header::LOAD).and_then(bn_platform::load);
+    if let Some(load) = report {
+        let report = LoadReport {
             running: load.running,
             waiting: load.waiting,
             slots: load.slots,
         };
         let now = shared.now();
-        shared.state().fleet.record_load(now, &server.id, told);
+        shared.state().fleet.record_load(now, &server.id, report);
     }
 }
 
-/// The request as the backend server gets it.
+/// The request as sent to the backend server.
 fn request(
     now: Duration,
-    ticket: &Ticket,
+    ctx: &RequestContext,
     server: &Server,
     last_event: Option<&str>,
 ) -> Request<Full<hyper::body::Bytes>> {
-    let mut request = Request::new(Full::new(ticket.body.clone()));
-    *request.method_mut() = ticket.method.clone();
-    *request.uri_mut() = origin_form(&ticket.uri);
+    let mut request = Request::new(Full::new(ctx.body.clone()));
+    *request.method_mut() = ctx.method.clone();
+    *request.uri_mut() = origin_form(&ctx.uri);
     let headers = request.headers_mut();
-    *headers = ticket.headers.clone();
+    *headers = ctx.headers.clone();
     let mut set = |name: &'static str, value: &str| {
         if let Ok(value) = HeaderValue::from_str(value) {
             headers.insert(HeaderName::from_static(name), value);
         }
     };
-    set(header::DEADLINE, &ticket.left(now).as_millis().to_string());
+    set(
+        header::DEADLINE,
+        &ctx.remaining(now).as_millis().to_string(),
+    );
     set(header::EXPECT, &server.id);
-    set(header::RANK, &ticket.rank.min(LAST_RANK).to_string());
-    if let Some(account) = &ticket.account {
+    set(header::RANK, &ctx.priority.min(MAX_PRIORITY).to_string());
+    if let Some(account) = &ctx.account {
         set(header::ACCOUNT, account);
     }
     if let Some(id) = last_event {
@@ -197,14 +203,14 @@
     request
 }
 
-/// Path and query alone, as they came.
+/// Path and query only, unchanged.
 fn origin_form(uri: &hyper::Uri) -> hyper::Uri {
     let path = uri.path_and_query().cloned();
     path.map_or_else(|| uri.clone(), hyper::Uri::from)
 }
 
-/// Idle time that a backend server announces, from `Keep-Alive: timeout=SECONDS`.
-pub(crate) fn idle_limit(headers: &HeaderMap) -> Option<Duration> {
+/// Idle timeout that a backend server announces, from `Keep-Alive: timeout=SECONDS`.
+pub(crate) fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let parts = text(headers, "keep-alive")?.split(',');
     let seconds = parts.filter_map(|p| p.trim().strip_prefix("timeout="));
     let seconds = seconds.filter_map(|s| s.trim().parse().ok()).next();
--- a/crates/gateway/src/cases.rs
+++ b/crates/gateway/src/cases.rs
@@ -1,5 +1,5 @@
-//! Requests that end backend servers, between this gateway and the coordinators: what is told to them,
-//! and what is learnt from them.
+//! Requests that terminate backend servers: what this gateway reports to the coordinators and what
+//! it receives from them.
 
 use crate::link::Link;
 use crate::suspects::{self, Report};
@@ -9,60 +9,61 @@
 use bn_wire::messages::{self as wire};
 use serde_json::json;
 
-/// Suspects that wait for a word at the most: those that no leader answers are forgotten, the
-/// oldest first.
-const MOST_ASKED: usize = 64;
+/// Maximum number of suspects that wait for a trial answer: those that no leader answers are
+/// evicted, the oldest first.
+const MAX_PENDING_TRIALS: usize = 64;
 
 impl Link {
-    /// Takes in what a coordinator knows of a request under which backend servers ended.
-    pub(crate) fn learn(&self, told: &CaseUpdate) {
+    /// Merges what a coordinator knows of a request under which backend servers terminated.
+    pub(crate) fn merge_case(&self, update: &CaseUpdate) {
         let now = self.shared.now();
-        let digest = told.digest;
-        let (before, after, ends) = {
+        let digest = update.digest;
+        let (before, after, count) = {
             let mut state = self.shared.state();
             let before = state.cases.status(digest);
-            state.cases.merge(now, told);
+            state.cases.merge(now, update);
             state.cases.expire(now);
-            let ends = state.cases.get(digest).map_or(0, |c| c.terminations.len());
-            (before, state.cases.status(digest), ends)
+            let count = state.cases.get(digest).map_or(0, |c| c.terminations.len());
+            (before, state.cases.status(digest), count)
         };
         if before != after {
             self.shared.lines.put(
                 "request_standing",
                 json!({
                     "digest": to_text(digest), "standing": format!("{after:?}"),
-                    "before": format!("{before:?}"), "ends": ends, "round": told.case.round,
+                    "before": format!("{before:?}"), "ends": count, "round": update.case.round,
                 }),
             );
         }
     }
 
-    /// Another gateway saw a backend server end. Runs that were lost there count at once.
-    pub(crate) fn learn_end(&self, start: &Start) {
-        suspects::fell(&self.shared, start, "told");
+    /// Another gateway saw a backend server terminate. Runs that were lost at this gateway count at
+    /// once.
+    pub(crate) fn on_remote_termination(&self, start: &Start) {
+        suspects::mark_terminated(&self.shared, start, "told");
         let now = self.shared.now();
-        let end = self.shared.state().watch.on_terminated(now, start);
-        if let Some(end) = end {
-            suspects::tell(&self.shared, end, "told");
+        let termination = self.shared.state().loss_tracker.on_terminated(now, start);
+        if let Some(termination) = termination {
+            suspects::report_termination(&self.shared, termination, "told");
         }
     }
 
-    /// Tells all coordinators: each keeps what it is told, and the leader may be any of them.
+    /// Reports to all coordinators: each keeps what it receives, and the leader may be any of them.
     pub(crate) fn report(&mut self, report: Report) {
         let bytes = |d: Digest| d.to_be_bytes().to_vec();
         let body = match report {
-            Report::End(end) => Body::Ended((&end).into()),
-            Report::Done(digest, whole) => Body::RunDone(wire::RunDone {
+            Report::Terminated(termination) => Body::Ended((&termination).into()),
+            Report::RunFinished(digest, complete) => Body::RunDone(wire::RunDone {
                 digest: bytes(digest),
-                whole,
+                whole: complete,
             }),
-            Report::Ask(digest, time, word) => {
-                self.calls += 1;
-                // Numbers of an earlier start of this process are others.
-                let call = self.net.incarnation().wrapping_add(self.calls);
-                self.asked.insert(call, (digest, word));
-                while self.asked.len() > MOST_ASKED {
-                    self.asked.shift_remove_index(0);
+            Report::TrialRequest(digest, time, reply) => {
+                self.last_call += 1;
+                // Differs from the call numbers of an earlier start of this process.
+                let call = self.net.incarnation().wrapping_add(self.last_call);
+                self.pending_trials.insert(call, (digest, reply));
+                while self.pending_trials.len() > MAX_PENDING_TRIALS {
+                    self.pending_trials.shift_remove_index(0);
                 }
                 Body::TrialAsk(wire::TrialAsk {
                     call,
@@ -76,18 +77,18 @@
         }
     }
 
-    pub(crate) fn take_word(&mut self, answer: &wire::TrialAnswer) {
-        let Some((digest, word)) = self.asked.swap_remove(&answer.call) else {
+    pub(crate) fn on_trial_answer(&mut self, answer: &wire::TrialAnswer) {
+        let Some((digest, reply)) = self.pending_trials.swap_remove(&answer.call) else {
             return;
         };
-        // Nobody waits any more for a word that comes too late: others may try.
-        if word.send(answer.granted).is_err() && answer.granted {
-            self.report(Report::Done(digest, false));
+        // The request no longer waits for a late grant: others may try.
+        if reply.send(answer.granted).is_err() && answer.granted {
+            self.report(Report::RunFinished(digest, false));
         }
     }
 
-    /// A backend server that comes shows the end of the one before it.
-    pub(crate) fn note_ends(&self, record: &Record) {
+    /// A backend server that registers shows that its predecessor terminated.
+    pub(crate) fn report_predecessors(&self, record: &Record) {
         if record.condition == Condition::Gone {
             return;
         }
@@ -96,13 +97,13 @@
             start_time: record.start_time,
         };
         let now = self.shared.now();
-        let ends = self
+        let terminations = self
             .shared
             .state()
-            .watch
+            .loss_tracker
             .on_start(now, &next, record.address);
-        for end in ends {
-            suspects::tell(&self.shared, end, "followed");
+        for termination in terminations {
+            suspects::report_termination(&self.shared, termination, "followed");
         }
     }
 }
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -1,5 +1,5 @@
-//! A caller's request as the gateway handles it: what was sent, what may be done with it
-//! and until when.
+//! A caller's request as the gateway handles it: what was sent, what may be done with it and until
+//! when.
 
 use bn_platform::header;
 use bn_quarantine::Digest;
@@ -11,80 +11,82 @@
 use std::sync::OnceLock;
 use std::time::Duration;
 
-/// Longest wait for a caller that names no deadline is the route's timeout; this is the
-/// longest that a named one may be.
-const LONGEST: Duration = Duration::from_secs(3600);
+/// A caller that names no deadline waits at most for the route's timeout; this is the maximum
+/// deadline that a caller may name.
+const MAX_DEADLINE: Duration = Duration::from_secs(3600);
 
-/// Why a request is not taken in.
+/// Why a request is not accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Denial {
     /// No document is known yet.
-    Unsettled,
+    NoDocument,
     /// No route matches.
-    Route,
+    NoRoute,
     /// The key is missing or unknown.
-    Key,
+    InvalidKey,
 }
 
-/// A request that was taken in.
+/// An accepted request.
 #[derive(Debug, Clone)]
-pub(crate) struct Ticket {
+pub(crate) struct RequestContext {
     pub(crate) id: String,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
-    /// What backend servers get, without what the gateway sets itself.
+    /// Headers for backend servers, without those that the gateway sets itself.
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
     pub(crate) account: Option<AccountId>,
     pub(crate) route: Route,
     pub(crate) service: String,
-    /// Version of the document that decided all this.
+    /// Version of the document that determined the fields above.
     pub(crate) version: u64,
     pub(crate) arrived: Duration,
-    /// What the caller says that it still waits.
+    /// How long the caller says that it still waits.
     pub(crate) deadline: Duration,
-    /// The caller has tried before: it cannot be in time any more.
-    pub(crate) came_back: bool,
-    /// When the final answer must be out: the caller's deadline or the route's timeout.
-    pub(crate) until: Duration,
-    /// Rank of its account or route; 0 goes first.
-    pub(crate) rank: u32,
-    /// Worked out where it is asked for: few requests ever need it.
+    /// The caller has tried before: the request can no longer be in time.
+    pub(crate) is_retry: bool,
+    /// When the final response must be sent: the caller's deadline or the route's timeout.
+    pub(crate) answer_by: Duration,
+    /// Priority of its account or route; 0 goes first.
+    pub(crate) priority: u32,
+    /// Computed on first use: few requests ever need it.
     digest: OnceLock<Digest>,
 }
 
-impl Ticket {
-    /// Judges a request by the document in force. `draw` gives a number below its
-    /// argument, for routes that are split.
+impl RequestContext {
+    /// Routes and authenticates a request by the document in force. `draw` returns a number below
+    /// its argument, for routes that are split.
     pub(crate) fn new(
         now: Duration,
-        plan: Option<&Document>,
+        document: Option<&Document>,
         parts: Parts,
         draw: impl FnOnce(u64) -> u64,
-    ) -> Result<Ticket, Denial> {
-        let plan = plan.ok_or(Denial::Unsettled)?;
+    ) -> Result<RequestContext, Denial> {
+        let document = document.ok_or(Denial::NoDocument)?;
         let host = host(&parts).unwrap_or_default();
-        let route = plan.route(host, parts.uri.path()).ok_or(Denial::Route)?;
-        let account = key(&parts.headers).and_then(|k| plan.account(k));
-        if plan.requires_key() && !route.open && account.is_none() {
-            return Err(Denial::Key);
+        let route = document
+            .route(host, parts.uri.path())
+            .ok_or(Denial::NoRoute)?;
+        let account = key(&parts.headers).and_then(|k| document.account(k));
+        if document.requires_key() && !route.open && account.is_none() {
+            return Err(Denial::InvalidKey);
         }
         let service = route.pick_service(draw(route.total_weight()));
         let deadline = deadline(&parts.headers);
-        Ok(Ticket {
+        Ok(RequestContext {
             id: text(&parts.headers, header::ATTEMPT)
                 .unwrap_or_default()
                 .into(),
             service: service.cloned().unwrap_or_default(),
             account: account.map(|a| a.name.clone()),
-            rank: account.and_then(|a| a.priority).unwrap_or(route.priority),
+            priority: account.and_then(|a| a.priority).unwrap_or(route.priority),
             route: route.clone(),
-            version: plan.version(),
+            version: document.version(),
             arrived: now,
             deadline,
-            came_back: false,
-            until: now + deadline.min(route.timeout),
-            headers: passed_on(parts.headers),
+            is_retry: false,
+            answer_by: now + deadline.min(route.timeout),
+            headers: forwarded_headers(parts.headers),
             method: parts.method,
             uri: parts.uri,
             body: Bytes::new(),
@@ -92,8 +94,8 @@
         })
     }
 
-    /// What it is, whoever sends it and however often: caller, method, path and body. Headers
-    /// differ between tries of the same request.
+    /// Identifies the request across retries: account, method, host, path and body. Headers differ
+    /// between attempts of the same request.
     pub(crate) fn digest(&self) -> Digest {
         *self.digest.get_or_init(|| {
             let account = self.account.as_deref().unwrap_or_default();
@@ -112,25 +114,25 @@
         })
     }
 
-    /// It may run more than once.
+    /// Whether it may run more than once.
     pub(crate) fn idempotent(&self) -> bool {
         self.route.idempotent()
     }
 
-    /// Its answer is a series of events.
+    /// Whether its response is a stream of events.
     pub(crate) fn streams(&self) -> bool {
         self.route.kind == Kind::Stream
     }
 
-    /// Time left.
-    pub(crate) fn left(&self, now: Duration) -> Duration {
-        self.until.saturating_sub(now)
+    /// Time left until the final response must be sent.
+    pub(crate) fn remaining(&self, now: Duration) -> Duration {
+        self.answer_by.saturating_sub(now)
     }
 }
 
-/// What the caller says that it still waits.
+/// How long the caller says that it still waits.
 pub(crate) fn deadline(headers: &HeaderMap) -> Duration {
-    millis(headers, header::DEADLINE).unwrap_or(LONGEST)
+    millis(headers, header::DEADLINE).unwrap_or(MAX_DEADLINE)
 }
 
 fn host(parts: &Parts) -> Option<&str> {
@@ -144,20 +146,20 @@
     text(headers, "authorization")?.strip_prefix(header::SCHEME)
 }
 
-/// A header as text, where it is there and is text.
+/// A header's value, if it is present and is text.
 pub(crate) fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|v| v.to_str().ok())
 }
 
 fn millis(headers: &HeaderMap, name: &str) -> Option<Duration> {
     let ms: f64 = text(headers, name)?.trim().parse().ok()?;
-    (ms.is_finite() && ms >= 0.0).then(|| Duration::from_secs_f64(ms / 1000.0).min(LONGEST))
+    (ms.is_finite() && ms >= 0.0).then(|| Duration::from_secs_f64(ms / 1000.0).min(MAX_DEADLINE))
 }
 
-/// All headers but those of one connection, also the ones that `Connection` names, and
-/// those that the gateway sets itself.
-fn passed_on(mut headers: HeaderMap) -> HeaderMap {
-    strip_hop(&mut headers);
+/// All headers except hop-by-hop ones, including those that `Connection` names, and those that the
+/// gateway sets itself.
+fn forwarded_headers(mut headers: HeaderMap) -> HeaderMap {
+    strip_hop_by_hop(&mut headers);
     for name in header::OWN {
         headers.remove(name);
     }
@@ -166,16 +168,16 @@
     headers
 }
 
-/// Removes what concerns one connection only.
-pub(crate) fn strip_hop(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+/// Removes hop-by-hop headers.
+pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
+    let listed: Vec<HeaderName> = headers
         .get_all("connection")
         .iter()
         .filter_map(|v: &HeaderValue| v.to_str().ok())
         .flat_map(|v| v.split(','))
         .filter_map(|n| n.trim().parse().ok())
         .collect();
-    for name in named {
+    for name in listed {
         headers.remove(name);
     }
     for name in header::HOP {
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -1,9 +1,9 @@
-//! Offering a request to backend servers until one answers: which outcome allows another
-//! try, and what is told where none does.
+//! Sends a request to backend servers until one responds: which outcomes allow another attempt, and
+//! which refusal is returned if none does.
 
 use crate::answer::{Refusal, Verdict};
-use crate::attempt::{self, Head, Outcome, Word};
-use crate::context::Ticket;
+use crate::attempt::{self, Head, NotRunReason, Outcome};
+use crate::context::RequestContext;
 use crate::placement;
 use crate::shared::Shared;
 use crate::suspects::{self, Run, Trial};
@@ -11,111 +11,106 @@
 use bn_route::ServerId;
 use serde_json::json;
 
-/// Connections that may fail before a request is given up; each was another backend
-/// server, and no byte left.
-const MOST_UNSENT: u32 = 3;
+/// Connections that may fail before a request is refused; each was to another backend server, and
+/// no byte was sent.
+const MAX_UNSENT: u32 = 3;
 
-/// What was tried for a request so far.
+/// Attempts made for a request so far.
 #[derive(Default)]
-pub(crate) struct Tries {
+pub(crate) struct Attempts {
     pub(crate) tried: Vec<ServerId>,
-    /// Backend servers that it was sent to.
+    /// Number of backend servers that it was sent to.
     pub(crate) sent: u32,
     unsent: u32,
-    /// It is at a backend server, or was, and nobody said that it did not run.
-    pub(crate) unsure: bool,
-    /// It is a suspect, and this its only try in the fleet.
+    /// It is or was at a backend server that did not report that it was not run.
+    pub(crate) may_have_run: bool,
+    /// Set if it is a suspect, and this is its only attempt in the fleet.
     pub(crate) trial: Option<Trial>,
 }
 
-impl Tries {
-    /// The final word where time or means have run out.
-    pub(crate) fn end(&self, otherwise: Refusal) -> Refusal {
-        match self.unsure {
+impl Attempts {
+    /// The refusal returned when time or attempts have run out.
+    pub(crate) fn final_refusal(&self, otherwise: Refusal) -> Refusal {
+        match self.may_have_run {
             true => Refusal::unknown(502, "the answer of the backend server was lost"),
             false => otherwise,
         }
     }
 
-    /// The final word at the deadline or the route's timeout.
+    /// The refusal returned at the deadline or the route's timeout.
     pub(crate) fn timed_out(&self) -> Refusal {
-        match self.unsure {
+        match self.may_have_run {
             true => Refusal::unknown(504, "no answer in time"),
-            // The caller's time is up: there is no time to come back either.
-            false => Refusal::wrong(503, "not sent in time"),
+            // The caller's deadline has passed: no time is left for a retry either.
+            false => Refusal::not_retryable(503, "not sent in time"),
         }
     }
 }
 
-/// Offers a request until there is the head of an answer to it.
-pub(crate) async fn offer(
+/// Tries backend servers until one returns the headers of a response.
+pub(crate) async fn dispatch(
     shared: &Shared,
-    ticket: &Ticket,
-    tries: &mut Tries,
+    ctx: &RequestContext,
+    attempts: &mut Attempts,
     last_event: Option<&str>,
 ) -> Result<Box<Head>, Refusal> {
     loop {
-        suspects::refuse_known(shared, ticket).map_err(|refusal| tries.end(refusal))?;
-        let seat = placement::seat(shared, ticket, &tries.tried).await;
-        let seat = seat.map_err(|refusal| tries.end(refusal))?;
-        // It waited for its place, and more may be known of it by now.
-        let admitted = suspects::admit(shared, ticket, tries).await;
-        admitted.map_err(|refusal| tries.end(refusal))?;
-        let id = seat.server.id.clone();
-        let run = Run::at(&seat.server);
-        tries.tried.push(id.clone());
-        let unsure_before = tries.unsure;
-        tries.unsure = true;
-        let outcome = attempt::send(shared, ticket, seat, last_event).await;
+        suspects::refuse_quarantined(shared, ctx)
+            .map_err(|refusal| attempts.final_refusal(refusal))?;
+        let reservation = placement::reserve(shared, ctx, &attempts.tried).await;
+        let reservation = reservation.map_err(|refusal| attempts.final_refusal(refusal))?;
+        // It waited for its slot, and more may be known of the request by now.
+        let admitted = suspects::admit(shared, ctx, attempts).await;
+        admitted.map_err(|refusal| attempts.final_refusal(refusal))?;
+        let id = reservation.server.id.clone();
+        let run = Run::at(&reservation.server);
+        attempts.tried.push(id.clone());
+        let may_have_run_before = attempts.may_have_run;
+        attempts.may_have_run = true;
+        let outcome = attempt::send(shared, ctx, reservation, last_event).await;
         match outcome {
             Outcome::Head(head) => {
-                tries.sent += 1;
+                attempts.sent += 1;
                 return Ok(head);
             }
             Outcome::NotSent(why) => {
-                tries.unsure = unsure_before;
-                tries.unsent += 1;
-                note(shared, ticket, &id, "not_sent", why);
-                fail(shared, &id, true);
-                if tries.unsent >= MOST_UNSENT {
-                    let later = Refusal::later(
+                attempts.may_have_run = may_have_run_before;
+                attempts.unsent += 1;
+                log_failure(shared, ctx, &id, "not_sent", why);
+                record_failure(shared, &id, true);
+                if attempts.unsent >= MAX_UNSENT {
+                    let later = Refusal::retryable(
                         "no backend server reached",
-                        placement::back_after(shared, ticket),
+                        placement::retry_after_for(shared, ctx),
                     );
-                    return Err(tries.end(later));
+                    return Err(attempts.final_refusal(later));
                 }
             }
             Outcome::Withheld => {
-                tries.unsure = unsure_before;
-                tries.tried.pop();
+                attempts.may_have_run = may_have_run_before;
+                attempts.tried.pop();
                 metrics::counter!("requests_withheld_total").increment(1);
-                note(
-                    shared,
-                    ticket,
-                    &id,
-                    "withheld",
-                    "as the backend server asks",
-                );
+                log_failure(shared, ctx, &id, "withheld", "as the backend server asks");
             }
-            Outcome::NotRun(word) => {
-                tries.unsure = unsure_before;
-                on_word(shared, ticket, tries, &id, word)?;
+            Outcome::NotRun(reason) => {
+                attempts.may_have_run = may_have_run_before;
+                on_not_run(shared, ctx, attempts, &id, reason)?;
             }
-            Outcome::Broke => {
-                suspects::lost(shared, ticket, tries, &run, false);
+            Outcome::ConnectionLost => {
+                suspects::on_run_lost(shared, ctx, attempts, &run, false);
                 on_unknown(
                     shared,
-                    ticket,
-                    tries,
+                    ctx,
+                    attempts,
                     &id,
                     "connection broke before an answer",
                 )?;
             }
-            Outcome::Foreign => {
+            Outcome::Mismatched => {
                 on_unknown(
                     shared,
-                    ticket,
-                    tries,
+                    ctx,
+                    attempts,
                     &id,
                     "an answer to another request came",
                 )?;
@@ -124,98 +119,107 @@
     }
 }
 
-/// The request may go to another backend server although it may have run. A suspect may not: the
-/// next one would end, too, before the end of this one is known.
-pub(crate) fn again(shared: &Shared, ticket: &Ticket, tries: &Tries) -> bool {
-    let may = ticket.idempotent() && tries.trial.is_none() && tries.sent < ticket.route.attempts;
-    may && shared.may_retry(&ticket.service)
+/// Whether the request may go to another backend server although it may have run. A suspect may
+/// not: the next backend server would terminate, too, before this termination is known.
+pub(crate) fn take_retry(shared: &Shared, ctx: &RequestContext, attempts: &Attempts) -> bool {
+    let may = ctx.idempotent() && attempts.trial.is_none() && attempts.sent < ctx.route.attempts;
+    may && shared.try_withdraw_retry(&ctx.service)
 }
 
 fn on_unknown(
     shared: &Shared,
-    ticket: &Ticket,
-    tries: &mut Tries,
+    ctx: &RequestContext,
+    attempts: &mut Attempts,
     id: &str,
     why: &str,
 ) -> Result<(), Refusal> {
-    tries.sent += 1;
-    note(shared, ticket, id, "unknown", why);
-    fail(shared, id, false);
-    match again(shared, ticket, tries) {
+    attempts.sent += 1;
+    log_failure(shared, ctx, id, "unknown", why);
+    record_failure(shared, id, false);
+    match take_retry(shared, ctx, attempts) {
         true => Ok(()),
         false => Err(Refusal::unknown(502, "the answer was lost")),
     }
 }
 
-fn on_word(
+fn on_not_run(
     shared: &Shared,
-    ticket: &Ticket,
-    tries: &mut Tries,
+    ctx: &RequestContext,
+    attempts: &mut Attempts,
     id: &str,
-    word: Word,
+    reason: NotRunReason,
 ) -> Result<(), Refusal> {
-    let (outcome, reason) = match word {
-        Word::Full => ("full", placement::FULL),
-        Word::Elsewhere => ("elsewhere", "the backend server is gone"),
-        Word::Misfit => ("misfit", "the backend server serves no such request"),
-        Word::Stalled => ("stalled", placement::STILL),
+    let (outcome, message) = match reason {
+        NotRunReason::Full => ("full", placement::FULL),
+        NotRunReason::AddressReused => ("elsewhere", "the backend server is gone"),
+        NotRunReason::NotServed => ("misfit", "the backend server serves no such request"),
+        NotRunReason::Stalled => ("stalled", placement::STALLED),
     };
-    note(shared, ticket, id, "not_run", outcome);
-    let unserved = matches!(word, Word::Elsewhere | Word::Misfit);
-    match word {
-        // Its address belongs to another one now; an id never comes back.
-        Word::Elsewhere => shared.state().fleet.remove(id),
-        // Without load it would be preferred for every request.
-        Word::Misfit => fail(shared, id, true),
-        Word::Full => tries.sent += 1,
-        Word::Stalled => {
+    log_failure(shared, ctx, id, "not_run", outcome);
+    let cannot_serve = matches!(
+        reason,
+        NotRunReason::AddressReused | NotRunReason::NotServed
+    );
+    match reason {
+        // Its address belongs to another backend server now; an id is never reused.
+        NotRunReason::AddressReused => shared.state().fleet.remove(id),
+        // As it has no load, it would be preferred for every request.
+        NotRunReason::NotServed => record_failure(shared, id, true),
+        NotRunReason::Full => attempts.sent += 1,
+        NotRunReason::Stalled => {
             let now = shared.now();
             let mut state = shared.state();
             state.fleet.mark_stalled(now, id);
-            state.forget_pace_of(id);
-            tries.sent += 1;
+            state.reset_fill_controller(id);
+            attempts.sent += 1;
         }
     }
-    // One that cannot serve it at all was no try at serving it.
-    tries.unsent += u32::from(unserved);
-    let left = match unserved {
-        true => tries.unsent < MOST_UNSENT,
-        false => tries.sent < ticket.route.attempts,
+    // A backend server that cannot serve the request at all does not count as an attempt to serve
+    // it.
+    attempts.unsent += u32::from(cannot_serve);
+    let may_try = match cannot_serve {
+        true => attempts.unsent < MAX_UNSENT,
+        false => attempts.sent < ctx.route.attempts,
     };
-    match left && shared.may_retry(&ticket.service) {
+    match may_try && shared.try_withdraw_retry(&ctx.service) {
         true => Ok(()),
-        false => Err(tries.end(Refusal::later(
-            reason,
-            placement::back_after(shared, ticket),
+        false => Err(attempts.final_refusal(Refusal::retryable(
+            message,
+            placement::retry_after_for(shared, ctx),
         ))),
     }
 }
 
-/// Notes a failure on account of a backend server.
-pub(crate) fn fail(shared: &Shared, id: &str, gravely: bool) {
+/// Records a failure of a backend server.
+pub(crate) fn record_failure(shared: &Shared, id: &str, severe: bool) {
     let now = shared.now();
-    let out = shared.state().fleet.record_failure(now, id, gravely);
-    if out {
-        shared.lines.put(
-            "backend_server_out",
-            json!({ "id": id, "gravely": gravely }),
-        );
+    let ejected = shared.state().fleet.record_failure(now, id, severe);
+    if ejected {
+        shared
+            .lines
+            .put("backend_server_out", json!({ "id": id, "gravely": severe }));
     }
 }
 
-/// A line for a try that brought no answer.
-pub(crate) fn note(shared: &Shared, ticket: &Ticket, id: &str, outcome: &str, why: &str) {
+/// Logs an attempt without a response.
+pub(crate) fn log_failure(
+    shared: &Shared,
+    ctx: &RequestContext,
+    id: &str,
+    outcome: &str,
+    why: &str,
+) {
     shared.lines.put(
         "try_failed",
         json!({
-            "request": ticket.id, "route": ticket.route.name, "version": ticket.version,
-            "server": id, "outcome": outcome, "why": why, "digest": to_text(ticket.digest()),
+            "request": ctx.id, "route": ctx.route.name, "version": ctx.version,
+            "server": id, "outcome": outcome, "why": why, "digest": to_text(ctx.digest()),
         }),
     );
 }
 
-/// The verdict of a refusal, for lines and counters.
-pub(crate) fn verdict(refusal: &Refusal) -> &'static str {
+/// The verdict of a refusal, for log events and counters.
+pub(crate) fn verdict_name(refusal: &Refusal) -> &'static str {
     match refusal.verdict {
         Verdict::NotRun => "not_run",
         Verdict::MayHaveRun => "may_have_run",
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,48 +1,48 @@
-//! Framing of event streams: only whole events go on to callers, so that a stream that
-//! broke off in the middle of one can go on elsewhere after the last whole one.
+//! Framing of event streams: only complete events are forwarded to callers, so that a stream that
+//! broke off within an event can be resumed elsewhere after the last complete one.
 
 use bytes::{Bytes, BytesMut};
 
-/// Most bytes of one event; a backend server that sends more is broken.
-pub(crate) const LARGEST_EVENT: usize = 1 << 20;
+/// Maximum bytes of one event; a backend server that sends more is faulty.
+pub(crate) const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Cuts a stream into whole events.
+/// Splits a stream into complete events.
 #[derive(Debug, Default)]
 pub struct Splitter {
-    part: BytesMut,
+    partial: BytesMut,
     last_id: Option<String>,
 }
 
 impl Splitter {
-    /// Takes bytes in; returns all whole events that are there now, as they came.
+    /// Adds bytes; returns all events that are complete now, unmodified.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
-        self.part.extend_from_slice(bytes);
-        let end = whole_length(&self.part)?;
-        let whole = self.part.split_to(end).freeze();
-        if let Some(id) = last_id(&whole) {
+        self.partial.extend_from_slice(bytes);
+        let end = complete_length(&self.partial)?;
+        let complete = self.partial.split_to(end).freeze();
+        if let Some(id) = last_id(&complete) {
             self.last_id = Some(id);
         }
-        Some(whole)
+        Some(complete)
     }
 
-    /// Id of the last whole event that had one.
+    /// Id of the last complete event that had one.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Bytes of an event that is not whole yet.
+    /// Bytes of the incomplete event.
     pub fn pending(&self) -> usize {
-        self.part.len()
+        self.partial.len()
     }
 
-    /// Forgets the part of an event that will never be whole.
-    pub fn drop_part(&mut self) {
-        self.part.clear();
+    /// Discards the part of an event that will never be completed.
+    pub fn discard_partial(&mut self) {
+        self.partial.clear();
     }
 }
 
-/// Length of the whole events at the beginning: up to the last empty line.
-fn whole_length(bytes: &[u8]) -> Option<usize> {
+/// Length of the complete events at the beginning: up to the last empty line.
+fn complete_length(bytes: &[u8]) -> Option<usize> {
     let ends_at = |at: &usize| {
         let rest = bytes.get(*at..).unwrap_or_default();
         rest.starts_with(b"\n\n") || rest.starts_with(b"\n\r\n")
--- a/crates/gateway/src/feedback.rs
+++ b/crates/gateway/src/feedback.rs
@@ -1,6 +1,6 @@
-//! What backend servers ask for with the heads of their answers.
+//! Directives of backend servers in the headers of their responses.
 
-use crate::context::{Ticket, text};
+use crate::context::{RequestContext, text};
 use crate::shared::Shared;
 use bn_backpressure::{Directives, Feedback};
 use bn_platform::{asked as format, header};
@@ -12,83 +12,90 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Takes in what the head of an answer asks for, whatever else it says; `sent` is when its request was.
-pub(crate) fn note<B>(
+/// Records the directives in a response's headers, whatever its status or body; `sent` is when its
+/// request was sent.
+pub(crate) fn record<B>(
     shared: &Shared,
-    ticket: &Ticket,
+    ctx: &RequestContext,
     server: &Server,
     sent: Duration,
     response: &Response<B>,
 ) {
     let (status, headers) = (response.status().as_u16(), response.headers());
-    // Another one has its address now.
+    // Another backend server has this address now.
     if status == 421 && text(headers, header::SERVER) != Some(&server.id) {
         return;
     }
-    let marked = [header::SIGNATURE, header::NOT_RUN].map(|h| headers.contains_key(h));
+    let authentic_headers = [header::SIGNATURE, header::NOT_RUN].map(|h| headers.contains_key(h));
     let feedback = Feedback {
-        directives: read(status, headers),
+        directives: parse_directives(status, headers),
         sent_at: sent,
-        authentic: marked.contains(&true) && text(headers, header::ATTEMPT) == Some(&ticket.id),
+        authentic: authentic_headers.contains(&true)
+            && text(headers, header::ATTEMPT) == Some(&ctx.id),
     };
     let now = shared.now();
-    let (news, limit, gap) = {
+    let (previous, limit, interval) = {
         let mut state = shared.state();
         let draw = rand::random();
-        let news = state
-            .fleet
-            .record_answer(now, &server.id, server.start_time, &feedback, draw);
-        let terms = state.fleet.get(&server.id).map(|s| &s.terms);
-        let limit = terms.map(|t| t.limit()).unwrap_or_default();
-        (news, limit, terms.and_then(|t| t.interval()))
+        let previous =
+            state
+                .fleet
+                .record_answer(now, &server.id, server.start_time, &feedback, draw);
+        let backpressure = state.fleet.get(&server.id).map(|s| &s.terms);
+        let limit = backpressure.map(|t| t.limit()).unwrap_or_default();
+        (previous, limit, backpressure.and_then(|t| t.interval()))
     };
-    let Some(before) = news else {
+    let Some(previous_interval) = previous else {
         return;
     };
-    let asked = feedback.directives;
+    let directives = feedback.directives;
     metrics::counter!("backend_servers_asked_total").increment(1);
     shared.lines.put(
         "backend_server_asked",
         json!({
-            "id": server.id, "began": server.start_time, "request": ticket.id, "status": status,
-            "limit": asked.limit, "rest_ms": asked.backoff.map(millis), "leaving": asked.leaving,
-            "unread": asked.malformed, "own": feedback.authentic, "held_limit": limit.rate,
-            "turn": limit.version, "gap_ms": gap.map(millis), "before_ms": millis(before),
+            "id": server.id, "began": server.start_time, "request": ctx.id, "status": status,
+            "limit": directives.limit, "rest_ms": directives.backoff.map(millis),
+            "leaving": directives.leaving, "unread": directives.malformed,
+            "own": feedback.authentic, "held_limit": limit.rate, "turn": limit.version,
+            "gap_ms": interval.map(millis), "before_ms": millis(previous_interval),
         }),
     );
 }
 
-/// Takes in what coordinators know of a limit, from gateways that heard of it.
-pub(crate) fn learn(shared: &Shared, record: &Record, source: SocketAddr) {
+/// Merges a limit known to coordinators, as reported by gateways that received it.
+pub(crate) fn merge_limit(shared: &Shared, record: &Record, source: SocketAddr) {
     let now = shared.now();
-    let (news, gap) = {
+    let (changed, interval) = {
         let fleet = &mut shared.state().fleet;
-        let news = fleet.merge_limit(now, &record.id, record.limit, rand::random());
-        (news, fleet.get(&record.id).and_then(|s| s.terms.interval()))
+        let changed = fleet.merge_limit(now, &record.id, record.limit, rand::random());
+        (
+            changed,
+            fleet.get(&record.id).and_then(|s| s.terms.interval()),
+        )
     };
-    if news {
+    if changed {
         shared.lines.put(
             "backend_server_limit",
             json!({
                 "id": record.id, "began": record.start_time, "limit": record.limit.rate,
-                "turn": record.limit.version, "gap_ms": gap.map(millis), "source": source,
+                "turn": record.limit.version, "gap_ms": interval.map(millis), "source": source,
             }),
         );
     }
 }
 
-/// A header that comes twice counts as what asks for more.
-fn read(status: u16, headers: &HeaderMap) -> Directives {
+/// If a header is repeated, the more restrictive value counts.
+fn parse_directives(status: u16, headers: &HeaderMap) -> Directives {
     let limits = values(headers, header::LIMIT, format::limit);
-    let rests = match status {
+    let backoffs = match status {
         503 => values(headers, header::RETRY_AFTER, format::rest),
         _ => Vec::new(),
     };
     let leaving = values(headers, header::LEAVING, format::leaving);
     Directives {
-        malformed: limits.contains(&None) || rests.contains(&None) || leaving.contains(&None),
+        malformed: limits.contains(&None) || backoffs.contains(&None) || leaving.contains(&None),
         limit: limits.into_iter().flatten().reduce(f64::min),
-        backoff: rests.into_iter().flatten().max(),
+        backoff: backoffs.into_iter().flatten().max(),
         leaving: leaving.contains(&Some(true)),
     }
 }
--- a/crates/gateway/src/frontend.rs
+++ b/crates/gateway/src/frontend.rs
@@ -1,9 +1,9 @@
-//! The callers' side: takes a request in, has it served, answers.
+//! Handles callers' requests: accepts them, has them served and responds.
 
 use crate::answer::Refusal;
-use crate::context::{Denial, Ticket};
-use crate::dispatch::{self, Tries};
-use crate::shared::{Flight, Shared};
+use crate::context::{Denial, RequestContext};
+use crate::dispatch::{self, Attempts};
+use crate::shared::{InFlightGuard, Shared};
 use crate::{context, placement, plain, stream};
 use bn_directory::ANSWER_TTL;
 use bn_platform::call::{self, Call};
@@ -13,70 +13,71 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// One in so many ordinary successes gets a line of its own; all else always does.
-const SAMPLE: u32 = 32;
+/// One in this many ordinary successes is logged; everything else always is.
+const SUCCESS_LOG_SAMPLING: u32 = 32;
 
-/// Part of the time that a caller waits for which it is held until a configuration is known.
-const PLAN_PART: f64 = 0.33;
+/// Fraction of the caller's waiting time for which a request is held until a configuration is
+/// known.
+const DOCUMENT_WAIT_FRACTION: f64 = 0.33;
 
-/// Whether this success gets a line.
-pub(crate) fn sampled() -> bool {
-    rand::random::<u32>().is_multiple_of(SAMPLE)
+/// Whether this success is logged.
+pub(crate) fn is_sampled() -> bool {
+    rand::random::<u32>().is_multiple_of(SUCCESS_LOG_SAMPLING)
 }
 
-/// Answers a caller.
+/// Responds to a caller.
 pub(crate) async fn answer(shared: Shared, request: Request<Incoming>) -> Response<Body> {
-    let flight = Flight::begin(&shared);
+    let in_flight = InFlightGuard::start(&shared);
     let (parts, body) = request.into_parts();
     let now = shared.now();
-    // A process that has just started learns the configuration in a second or two. Who is refused
-    // meanwhile comes back once at most, mostly too early, and gets no answer at all.
-    let wait = context::deadline(&parts.headers);
-    let hold = wait.mul_f64(PLAN_PART);
-    let plan = shared
-        .plan_by(now + hold.min(placement::LONGEST_HOLD))
+    // A process that has just started learns the configuration in a second or two. A caller refused
+    // meanwhile retries once at most, mostly too early, and gets no response at all.
+    let caller_wait = context::deadline(&parts.headers);
+    let document_wait = caller_wait.mul_f64(DOCUMENT_WAIT_FRACTION);
+    let document = shared
+        .wait_for_document(now + document_wait.min(placement::MAX_HOLD))
         .await;
-    let taken = Ticket::new(now, plan.as_deref(), parts, |sum| {
+    let created = RequestContext::new(now, document.as_deref(), parts, |sum| {
         rand::random_range(0..sum.max(1))
     });
-    let mut ticket = match taken {
-        Ok(ticket) => ticket,
-        Err(denial) => return denied(&shared, denial, wait),
+    let mut ctx = match created {
+        Ok(ctx) => ctx,
+        Err(denial) => return deny(&shared, denial, caller_wait),
     };
-    if shared.is_shut() {
-        let stopping = Refusal::later("this process is stopping", Duration::ZERO);
-        return refused(&shared, &ticket, &stopping);
+    if shared.has_stopped_accepting() {
+        let stopping = Refusal::retryable("this process is stopping", Duration::ZERO);
+        return refuse(&shared, &ctx, &stopping);
     }
-    let most = plan.map_or(0, |p| p.limits().body_bytes);
-    match whole_body(body, most, ticket.left(now)).await {
-        Ok(body) => ticket.body = body,
-        Err(fault) => return refused(&shared, &ticket, &body_refusal(fault)),
+    let max_bytes = document.map_or(0, |d| d.limits().body_bytes);
+    match whole_body(body, max_bytes, ctx.remaining(now)).await {
+        Ok(body) => ctx.body = body,
+        Err(error) => return refuse(&shared, &ctx, &body_refusal(error)),
     }
-    ticket.came_back = shared.came_back(&ticket.route.name, ticket.deadline);
-    shared.count_request(&ticket.service);
-    let served = match ticket.streams() {
-        true => stream::serve(&shared, &ticket, Tries::default(), flight).await,
-        false => plain_in_time(&shared, &ticket).await,
+    ctx.is_retry = shared.is_retry(&ctx.route.name, ctx.deadline);
+    shared.count_request(&ctx.service);
+    let result = match ctx.streams() {
+        true => stream::serve(&shared, &ctx, Attempts::default(), in_flight).await,
+        false => serve_plain(&shared, &ctx).await,
     };
-    match served {
+    match result {
         Ok(response) => {
-            note_answered(&shared, &ticket, &response);
+            record_answered(&shared, &ctx, &response);
             response
         }
-        Err(refusal) => refused(&shared, &ticket, &refusal),
+        Err(refusal) => refuse(&shared, &ctx, &refusal),
     }
 }
 
-async fn plain_in_time(shared: &Shared, ticket: &Ticket) -> Result<Response<Body>, Refusal> {
-    let mut tries = Tries::default();
-    let served = plain::serve(shared, ticket, &mut tries);
-    match tokio::time::timeout(ticket.left(shared.now()), served).await {
-        Ok(served) => served,
-        Err(_) => Err(tries.timed_out()),
+async fn serve_plain(shared: &Shared, ctx: &RequestContext) -> Result<Response<Body>, Refusal> {
+    let mut attempts = Attempts::default();
+    let result = plain::serve(shared, ctx, &mut attempts);
+    match tokio::time::timeout(ctx.remaining(shared.now()), result).await {
+        Ok(result) => result,
+        Err(_) => Err(attempts.timed_out()),
     }
 }
 
-/// Answers the platform's question whether callers may be sent here.
+/// Answers the platform's readiness check: whether callers may be sent here.
 pub(crate) fn readiness(shared: &Shared, request: &Request<Incoming>) -> Response<Body> {
     let uri = request.uri();
     let parsed = call::parse(request.method().as_str(), uri.path(), "");
@@ -87,7 +88,7 @@
     }
 }
 
-/// Answers callers that ask where to connect.
+/// Tells callers which gateways to connect to.
 pub(crate) fn directory(shared: &Shared, request: &Request<Incoming>) -> Response<Body> {
     let uri = request.uri();
     let query = uri.query().unwrap_or_default();
@@ -95,7 +96,7 @@
     else {
         return text(404, "text/plain", "there is no such call\n");
     };
-    let addresses = shared.state().named.addresses(&domain);
+    let addresses = shared.state().selection.addresses(&domain);
     if addresses.is_empty() {
         return text(503, "text/plain", "no gateway is known yet\n");
     }
@@ -103,59 +104,60 @@
     text(200, "application/json", body)
 }
 
-fn body_refusal(fault: BodyFault) -> Refusal {
-    match fault {
-        BodyFault::Slow => Refusal::wrong(408, "the body came too slowly"),
-        BodyFault::TooLarge => Refusal::wrong(413, "the body is too large"),
-        BodyFault::Broken => Refusal::wrong(400, "the body broke off"),
+fn body_refusal(error: BodyFault) -> Refusal {
+    match error {
+        BodyFault::Slow => Refusal::not_retryable(408, "the body came too slowly"),
+        BodyFault::TooLarge => Refusal::not_retryable(413, "the body is too large"),
+        BodyFault::Broken => Refusal::not_retryable(400, "the body broke off"),
     }
 }
 
-/// `wait` is what the caller said that it waits.
-fn denied(shared: &Shared, denial: Denial, wait: Duration) -> Response<Body> {
+/// `caller_wait` is how long the caller says that it waits.
+fn deny(shared: &Shared, denial: Denial, caller_wait: Duration) -> Response<Body> {
     let refusal = match denial {
-        Denial::Unsettled => {
-            let latest = placement::latest_back(wait.mul_f64(1.0 - PLAN_PART));
-            Refusal::later("no configuration is known yet", latest)
+        Denial::NoDocument => {
+            let retry_after =
+                placement::latest_retry(caller_wait.mul_f64(1.0 - DOCUMENT_WAIT_FRACTION));
+            Refusal::retryable("no configuration is known yet", retry_after)
         }
-        Denial::Route => Refusal::wrong(404, "no route matches"),
-        Denial::Key => Refusal::wrong(401, "the key is missing or unknown"),
+        Denial::NoRoute => Refusal::not_retryable(404, "no route matches"),
+        Denial::InvalidKey => Refusal::not_retryable(401, "the key is missing or unknown"),
     };
-    let version = shared.plan().map(|p| p.version());
+    let version = shared.document().map(|d| d.version());
     let fields = json!({ "status": refusal.status, "why": refusal.reason, "version": version });
     shared.lines.put("denied", fields);
     metrics::counter!("requests_total", "outcome" => "denied").increment(1);
     refusal.response()
 }
 
-fn refused(shared: &Shared, ticket: &Ticket, refusal: &Refusal) -> Response<Body> {
-    let verdict = dispatch::verdict(refusal);
-    let (room, waiting) = shared.room_of(&ticket.service);
+fn refuse(shared: &Shared, ctx: &RequestContext, refusal: &Refusal) -> Response<Body> {
+    let verdict = dispatch::verdict_name(refusal);
+    let (fill_limit, queued) = shared.fill_and_queue(&ctx.service);
     shared.lines.put(
         "refused",
         json!({
-            "request": ticket.id, "route": ticket.route.name, "service": ticket.service,
-            "account": ticket.account, "version": ticket.version, "status": refusal.status,
+            "request": ctx.id, "route": ctx.route.name, "service": ctx.service,
+            "account": ctx.account, "version": ctx.version, "status": refusal.status,
             "verdict": verdict, "why": refusal.reason,
-            "held_ms": (shared.now() - ticket.arrived).as_millis() as u64,
-            "room": room, "waiting": waiting,
+            "held_ms": (shared.now() - ctx.arrived).as_millis() as u64,
+            "room": fill_limit, "waiting": queued,
         }),
     );
     metrics::counter!("requests_total", "outcome" => verdict).increment(1);
     refusal.response()
 }
 
-fn note_answered(shared: &Shared, ticket: &Ticket, response: &Response<Body>) {
-    let took = shared.now() - ticket.arrived;
+fn record_answered(shared: &Shared, ctx: &RequestContext, response: &Response<Body>) {
+    let elapsed = shared.now() - ctx.arrived;
     metrics::counter!("requests_total", "outcome" => "answered").increment(1);
-    metrics::histogram!("answer_head_seconds").record(took);
-    if !response.status().is_success() || sampled() {
+    metrics::histogram!("answer_head_seconds").record(elapsed);
+    if !response.status().is_success() || is_sampled() {
         shared.lines.put(
             "answered",
             json!({
-                "request": ticket.id, "route": ticket.route.name,
-                "status": response.status().as_u16(), "version": ticket.version,
-                "after_ms": took.as_millis() as u64,
+                "request": ctx.id, "route": ctx.route.name,
+                "status": response.status().as_u16(), "version": ctx.version,
+                "after_ms": elapsed.as_millis() as u64,
             }),
         );
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,9 +1,9 @@
-//! The gateway process: takes callers' requests and sends them to backend servers itself.
+//! The gateway process: accepts callers' requests and sends them to backend servers itself.
 //!
-//! `frontend` takes a request in, `placement` finds it a backend server, `attempt` sends it
-//! there over pooled connections, `plain` and `stream` bring the answer back; `link` hears from the
-//! coordinators what is settled and which backend servers there are, `suspects` keeps requests that
-//! end backend servers from ending more.
+//! `frontend` accepts a request, `placement` reserves a slot at a backend server for it, `attempt`
+//! sends it there over pooled connections, `plain` and `stream` return the response; `link`
+//! receives the settled configuration and the known backend servers from the coordinators,
+//! `suspects` keeps requests that terminate backend servers from terminating more.
 
 mod answer;
 mod attempt;
@@ -23,7 +23,7 @@
 mod suspects;
 
 pub use events::Splitter;
-pub use sources::{Heard, Position, Sources, Telling};
+pub use sources::{PollState, Receipt, Sources, UpdateRange};
 pub use start::{Handle, start};
 
 use snafu::Snafu;
@@ -35,24 +35,24 @@
     /// The inbox could not be opened.
     #[snafu(display("{source}"), context(false))]
     Net {
-        /// What the links said.
+        /// The underlying network error.
         source: bn_net::Error,
     },
     /// A socket could not be opened.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// Where.
+        /// The address to listen on.
         address: std::net::SocketAddr,
-        /// What the system said.
+        /// The underlying I/O error.
         source: std::io::Error,
     },
-    /// The runtime could not be made.
-    #[snafu(display("runtime: {source}"))]
+    /// The async runtime could not be created.
+    #[snafu(display("cannot create the runtime: {source}"))]
     Runtime {
-        /// What the system said.
+        /// The underlying I/O error.
         source: std::io::Error,
     },
 }
 
-/// Result of starting.
+/// Result of starting a gateway.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -1,11 +1,11 @@
-//! News from the coordinators: the document in force and the backend servers.
+//! Updates from the coordinators: the document in force and the backend servers.
 //!
-//! Every coordinator is asked in turn, again and again; what any of them tells is taken if it is
-//! newer. A gateway that reaches none goes on with what it holds.
+//! Every coordinator is polled in turn, again and again; an update from any of them is applied if
+//! it is newer. A gateway that reaches no coordinator continues with its current state.
 
 use crate::feedback;
 use crate::shared::Shared;
-use crate::sources::{Sources, Telling};
+use crate::sources::{Sources, UpdateRange};
 use crate::suspects::Report;
 use bn_backpressure::GatewaySet;
 use bn_directory::{GatewaySelection, SelectedGateway};
@@ -21,53 +21,55 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// Time over which the rate of requests is a mean: some seconds, so that chance is not told.
-const RATE_OVER: Duration = Duration::from_secs(5);
-/// FillController of a sound backend server, and of one whose pace is not known.
-const SOUND: u32 = 100;
-/// Requests a second below which a gateway counts as one without any.
-const LEAST_RATE: f64 = 0.05;
+/// Time over which the request rate is averaged: some seconds, so that random variation is not
+/// reported.
+const RATE_WINDOW: Duration = Duration::from_secs(5);
+/// Slowdown of a sound backend server, and of one whose slowdown is not known.
+const BASELINE_SLOWDOWN: u32 = 100;
+/// Requests per second below which a gateway counts as receiving none.
+const MIN_RATE: f64 = 0.05;
 
-/// Requests taken in a second, of late.
+/// Recent rate of accepted requests per second.
 #[derive(Debug, Clone, Copy, Default)]
-struct Rate {
-    taken: u64,
-    at: Duration,
+struct RequestRate {
+    accepted: u64,
+    measured_at: Duration,
     mean: f64,
 }
 
-impl Rate {
-    /// Takes in how many requests there were until now; the rate, at least 1 where there are any.
-    fn note(&mut self, now: Duration, taken: u64) -> u32 {
-        let time = now.saturating_sub(self.at).as_secs_f64();
+impl RequestRate {
+    /// Updates the rate with the number of requests accepted until now; returns the rate, at least
+    /// 1 if there are any requests.
+    fn update(&mut self, now: Duration, accepted: u64) -> u32 {
+        let time = now.saturating_sub(self.measured_at).as_secs_f64();
         if time > 0.0 {
-            let fresh = (taken - self.taken) as f64 / time;
-            let weight = 1.0 - (-time / RATE_OVER.as_secs_f64()).exp();
-            self.mean += weight * (fresh - self.mean);
-            (self.taken, self.at) = (taken, now);
+            let current = (accepted - self.accepted) as f64 / time;
+            let weight = 1.0 - (-time / RATE_WINDOW.as_secs_f64()).exp();
+            self.mean += weight * (current - self.mean);
+            (self.accepted, self.measured_at) = (accepted, now);
         }
-        // What is far below one request a second has faded.
-        (self.mean - LEAST_RATE).ceil().max(0.0) as u32
+        // Rates far below one request per second count as zero.
+        (self.mean - MIN_RATE).ceil().max(0.0) as u32
     }
 }
 
-/// This gateway's end of the links.
+/// This gateway's connections to the coordinators.
 pub(crate) struct Link {
     pub(crate) shared: Shared,
     pub(crate) net: Net,
     pub(crate) callers: SocketAddr,
     pub(crate) domain: String,
     pub(crate) sources: Sources,
-    /// What coordinators were told last of whether callers may be sent here.
-    told_ready: bool,
-    registered: IndexMap<String, Record>,
-    rate: Rate,
+    /// Last readiness reported to coordinators: whether callers may be sent here.
+    reported_ready: bool,
+    registrations: IndexMap<String, Record>,
+    rate: RequestRate,
     usage: Usage,
-    /// Most messages that waited since the last line of usage.
-    longest: usize,
-    /// Suspects that wait for the leader's word, by call.
-    pub(crate) asked: IndexMap<u64, (Digest, oneshot::Sender<bool>)>,
-    pub(crate) calls: u64,
+    /// Maximum inbox length since the last usage event.
+    max_inbox: usize,
+    /// Suspects that wait for the leader's trial answer, by call number.
+    pub(crate) pending_trials: IndexMap<u64, (Digest, oneshot::Sender<bool>)>,
+    pub(crate) last_call: u64,
 }
 
 impl Link {
@@ -84,17 +86,17 @@
             callers,
             domain,
             sources: Sources::new(seeds, rand::random_range(0..1 << 16)),
-            told_ready: false,
-            registered: IndexMap::new(),
-            rate: Rate::default(),
+            reported_ready: false,
+            registrations: IndexMap::new(),
+            rate: RequestRate::default(),
             usage: Usage::default(),
-            longest: 0,
-            asked: IndexMap::new(),
-            calls: 0,
+            max_inbox: 0,
+            pending_trials: IndexMap::new(),
+            last_call: 0,
         }
     }
 
-    /// Runs until the process ends.
+    /// Runs until the process exits.
     pub(crate) async fn run(
         mut self,
         mut inbox: mpsc::Receiver<Envelope>,
@@ -106,45 +108,45 @@
         loop {
             tokio::select! {
                 Some(message) = inbox.recv() => {
-                    self.longest = self.longest.max(inbox.len() + 1);
-                    self.take(message);
+                    self.max_inbox = self.max_inbox.max(inbox.len() + 1);
+                    self.on_message(message);
                 }
                 Some(report) = reports.recv() => self.report(report),
                 () = due.as_mut() => {
-                    self.ask_next();
-                    self.note_usage(inbox.len());
-                    due.as_mut().reset(tokio::time::Instant::now() + self.sources.gap());
+                    self.poll_next();
+                    self.report_usage(inbox.len());
+                    due.as_mut().reset(tokio::time::Instant::now() + self.sources.poll_interval());
                 }
-                // A gateway that stops is told at once, so that no caller is sent here.
-                Ok(()) = closing.changed() => self.ask_all(),
+                // A stop is reported at once, so that no more callers are sent here.
+                Ok(()) = closing.changed() => self.poll_all(),
             }
-            // All are told at once, too, when callers may be sent here from now on.
-            if self.shared.is_ready() != self.told_ready {
-                self.ask_all();
+            // All coordinators are also notified at once when callers may be sent here from now on.
+            if self.shared.is_ready() != self.reported_ready {
+                self.poll_all();
             }
         }
     }
 
-    fn note_usage(&mut self, waiting: usize) {
-        let longest = &mut self.longest;
-        let queues = || json!({ "inbox": waiting, "inbox_longest": std::mem::take(longest) });
+    fn report_usage(&mut self, waiting: usize) {
+        let max_inbox = &mut self.max_inbox;
+        let queues = || json!({ "inbox": waiting, "inbox_longest": std::mem::take(max_inbox) });
         let now = self.shared.now();
         self.usage.note(now, &self.net, &self.shared.lines, queues);
     }
 
-    fn ask_next(&mut self) {
+    fn poll_next(&mut self) {
         let now = self.shared.now();
         self.shared.pool.sweep(now);
-        let held = self.shared.state().fleet.throttled_count(now);
-        metrics::gauge!("backend_servers_held").set(held as f64);
-        self.tell_limits();
-        if let Some(inbox) = self.sources.turn() {
-            self.ask(inbox);
+        let throttled = self.shared.state().fleet.throttled_count(now);
+        metrics::gauge!("backend_servers_held").set(throttled as f64);
+        self.report_limits();
+        if let Some(inbox) = self.sources.next_poll() {
+            self.poll(inbox);
         }
     }
 
-    /// Tells coordinators of limits that their registrations don't say.
-    fn tell_limits(&self) {
+    /// Reports limits to coordinators that are not in the registrations.
+    fn report_limits(&self) {
         let now = self.shared.now();
         let limits = self.shared.state().fleet.limits_to_report(now);
         if limits.is_empty() {
@@ -157,155 +159,157 @@
         }
     }
 
-    fn ask_all(&mut self) {
-        self.told_ready = self.shared.is_ready();
+    fn poll_all(&mut self) {
+        self.reported_ready = self.shared.is_ready();
         for inbox in self.sources.all() {
-            self.ask(inbox);
+            self.poll(inbox);
         }
     }
 
-    fn ask(&mut self, inbox: SocketAddr) {
-        let version = self.shared.plan().map_or(0, |p| p.version());
-        let position = self.sources.asked(inbox);
-        if position.reopen {
+    fn poll(&mut self, inbox: SocketAddr) {
+        let version = self.shared.document().map_or(0, |d| d.version());
+        let poll = self.sources.on_poll(inbox);
+        if poll.reopen {
             self.net.forget(inbox);
         }
-        if position.lost {
+        if poll.lost {
             let lost = json!({ "coordinator": inbox, "version": version });
             self.shared.lines.put("coordinator_lost", lost);
         }
-        let ask = wire::NewsAsk {
+        let request = wire::NewsAsk {
             callers: self.callers.to_string(),
             domain: self.domain.clone(),
             ready: self.shared.is_ready(),
             version,
-            source: position.incarnation,
-            mark: position.mark,
-            cases: position.cases,
-            unheard: position.unheard,
-            rate: self.rate.note(self.shared.now(), self.shared.taken()),
-            named: self.shared.state().named.checksum(),
-            brief: position.brief,
+            source: poll.incarnation,
+            mark: poll.cursor,
+            cases: poll.case_cursor,
+            unheard: poll.unanswered,
+            rate: self.rate.update(self.shared.now(), self.shared.accepted()),
+            named: self.shared.state().selection.checksum(),
+            brief: poll.omit_registrations,
         };
-        self.net.send(inbox, Body::NewsAsk(ask));
+        self.net.send(inbox, Body::NewsAsk(request));
     }
 
-    fn take(&mut self, envelope: Envelope) {
+    fn on_message(&mut self, envelope: Envelope) {
         let Ok(inbox) = envelope.inbox.parse::<SocketAddr>() else {
             return;
         };
-        let news = match envelope.body {
-            Some(Body::News(news)) => news,
-            Some(Body::TrialAnswer(answer)) => return self.take_word(&answer),
+        let update = match envelope.body {
+            Some(Body::News(update)) => update,
+            Some(Body::TrialAnswer(answer)) => return self.on_trial_answer(&answer),
             _ => return,
         };
-        let telling = Telling {
+        let range = UpdateRange {
             incarnation: envelope.incarnation,
-            mark: news.mark,
-            after: news.after,
+            cursor: update.mark,
+            after: update.after,
         };
-        let heard = self.sources.heard(inbox, telling);
-        if heard.gap {
+        let receipt = self.sources.on_update(inbox, range);
+        if receipt.gap {
             metrics::counter!("news_gaps_total").increment(1);
-            let fields = json!({ "coordinator": inbox, "after": news.after, "mark": news.mark });
+            let fields =
+                json!({ "coordinator": inbox, "after": update.after, "mark": update.mark });
             self.shared.lines.put("news_gap", fields);
         }
-        if heard.regained {
-            let fields = json!({ "coordinator": inbox, "version": news.version });
+        if receipt.regained {
+            let fields = json!({ "coordinator": inbox, "version": update.version });
             self.shared.lines.put("coordinator_regained", fields);
         }
-        let named = news.coordinators.iter().filter_map(|a| a.parse().ok());
-        self.sources.follow(&named.collect::<Vec<_>>());
-        self.adopt(inbox, &news);
-        self.follow_choice(news.named);
-        for raw in news.changed {
+        let members = update.coordinators.iter().filter_map(|a| a.parse().ok());
+        self.sources.set_members(&members.collect::<Vec<_>>());
+        self.adopt_document(inbox, &update);
+        self.update_selection(update.named);
+        for raw in update.changed {
             match Record::try_from(raw) {
-                Ok(record) => self.register(record, inbox),
-                Err(e) => log::warn!("a registration from {inbox}: {e}"),
+                Ok(record) => self.on_registration(record, inbox),
+                Err(e) => log::warn!("invalid registration from {inbox}: {e}"),
             }
         }
-        for raw in news.cases {
+        for raw in update.cases {
             match CaseUpdate::try_from(raw) {
-                Ok(told) => self.learn(&told),
-                Err(e) => log::warn!("a case from {inbox}: {e}"),
+                Ok(case) => self.merge_case(&case),
+                Err(e) => log::warn!("invalid case update from {inbox}: {e}"),
             }
         }
-        self.sources.told_cases(inbox, news.cases_mark);
-        for start in news.ended {
-            self.learn_end(&start.into());
+        self.sources.set_case_cursor(inbox, update.cases_mark);
+        for start in update.ended {
+            self.on_remote_termination(&start.into());
         }
         let mut state = self.shared.state();
-        state.gateways = news.gateways.max(1);
-        state.fleet.peers = state.gateways - 1;
+        state.gateway_count = update.gateways.max(1);
+        state.fleet.peers = state.gateway_count - 1;
     }
 
-    /// Takes a newer document. One that has just started takes its first only from a coordinator that
-    /// knows what is settled: others hold what was on their disks, which may be any number of versions
-    /// old, and routes and keys that were taken away since would be served again.
-    fn adopt(&self, inbox: SocketAddr, news: &wire::News) {
-        let held = self.shared.plan().map_or(0, |p| p.version());
-        if news.document.is_empty() || news.version <= held {
+    /// Applies a newer document. A gateway that has just started accepts its first one only from a
+    /// coordinator that knows the settled configuration: others hold what was on their disks, which
+    /// may be any number of versions old, and routes and keys removed since then would be served
+    /// again.
+    fn adopt_document(&self, inbox: SocketAddr, update: &wire::News) {
+        let in_force = self.shared.document().map_or(0, |d| d.version());
+        if update.document.is_empty() || update.version <= in_force {
             return;
         }
-        if held == 0 && !news.current {
-            let fields = json!({ "version": news.version, "coordinator": inbox });
+        if in_force == 0 && !update.current {
+            let fields = json!({ "version": update.version, "coordinator": inbox });
             return self.shared.lines.put("document_not_taken", fields);
         }
-        let document = match bn_wire::unpack(&news.document) {
-            Ok(document) => document,
-            Err(e) => return log::error!("document {}: {e}", news.version),
+        let json = match bn_wire::unpack(&update.document) {
+            Ok(json) => json,
+            Err(e) => return log::error!("cannot decompress document {}: {e}", update.version),
         };
-        match bn_platform::plan(&document) {
-            Ok(plan) => {
-                let fields = json!({ "version": plan.version(), "before": held });
+        match bn_platform::plan(&json) {
+            Ok(document) => {
+                let fields = json!({ "version": document.version(), "before": in_force });
                 self.shared.lines.put("document_in_force", fields);
-                self.shared.state().plan = Some(std::sync::Arc::new(plan));
+                self.shared.state().document = Some(std::sync::Arc::new(document));
             }
-            // Coordinators check before they settle, so this is a fault of ours.
-            Err(e) => log::error!("document {} does not hold: {e}", news.version),
+            // Coordinators validate a document before they settle it, so this is a bug.
+            Err(e) => log::error!("document {} is invalid: {e}", update.version),
         }
     }
 
-    /// Takes the coordinators' choice of gateways that callers are sent to.
-    fn follow_choice(&self, named: Vec<wire::NamedGateway>) {
+    /// Applies the coordinators' selection of gateways that callers are sent to.
+    fn update_selection(&self, named: Vec<wire::NamedGateway>) {
         if named.is_empty() {
             return;
         }
         let named: Result<Vec<_>, _> = named.into_iter().map(SelectedGateway::try_from).collect();
         match named {
             Ok(named) => {
-                let named = GatewaySelection::new(named);
+                let selection = GatewaySelection::new(named);
                 let fields =
-                    json!({ "gateways": named.gateways().len(), "mark": named.checksum() });
+                    json!({ "gateways": selection.gateways().len(), "mark": selection.checksum() });
                 self.shared.lines.put("gateways_named", fields);
-                let share = GatewaySet {
+                let gateway_set = GatewaySet {
                     own: Some(self.callers),
-                    gateways: named.gateways().iter().map(|g| g.callers).collect(),
+                    gateways: selection.gateways().iter().map(|g| g.callers).collect(),
                 };
                 let now = self.shared.now();
                 let mut state = self.shared.state();
-                state.fleet.set_gateways(now, share, rand::random);
-                state.named = named;
+                state.fleet.set_gateways(now, gateway_set, rand::random);
+                state.selection = selection;
             }
-            Err(e) => log::warn!("a choice of gateways: {e}"),
+            Err(e) => log::warn!("invalid selection of gateways: {e}"),
         }
     }
 
-    /// `source` is the coordinator that tells it.
-    fn register(&mut self, record: Record, source: SocketAddr) {
-        let known = self.registered.get(&record.id);
+    /// `source` is the coordinator that sent it.
+    fn on_registration(&mut self, record: Record, source: SocketAddr) {
+        let known = self.registrations.get(&record.id);
         let Some(record) = known.map_or(Some(record.clone()), |held| record.merged_over(held))
         else {
             return;
         };
-        let again = known.is_some_and(|held| held.start_time != record.start_time);
-        if again || known.is_none() {
-            self.note_ends(&record);
+        let restarted = known.is_some_and(|held| held.start_time != record.start_time);
+        if restarted || known.is_none() {
+            self.report_predecessors(&record);
         }
         let mut state = self.shared.state();
-        if again {
-            // It holds and knows nothing of before: its load, its failures and connections to it
-            // are of the earlier start.
+        if restarted {
+            // It has no state from before the restart: its load, its failures and the connections
+            // to it belong to the earlier start.
             state.fleet.remove(&record.id);
         }
         match (record.condition, record.address) {
@@ -316,16 +320,17 @@
                 server.start_time = record.start_time;
                 server.join_group(&record.group);
                 server.leaving = condition == Condition::Draining;
-                server.slowdown = f64::from(record.slowdown.max(SOUND)) / f64::from(SOUND);
+                server.slowdown = f64::from(record.slowdown.max(BASELINE_SLOWDOWN))
+                    / f64::from(BASELINE_SLOWDOWN);
                 state.fleet.upsert(server);
             }
         }
         drop(state);
-        feedback::learn(&self.shared, &record, source);
-        if let Some(address) = record.address.filter(|_| again) {
+        feedback::merge_limit(&self.shared, &record, source);
+        if let Some(address) = record.address.filter(|_| restarted) {
             self.shared.pool.forget(address);
         }
-        self.shared.room.notify_waiters();
+        self.shared.capacity_freed.notify_waiters();
         let fields = json!({
             "id": record.id, "service": record.service, "address": record.address,
             "condition": format!("{:?}", record.condition), "sequence": record.sequence,
@@ -333,6 +338,6 @@
             "limit": record.limit.rate, "turn": record.limit.version,
         });
         self.shared.lines.put("backend_server", fields);
-        self.registered.insert(record.id.clone(), record);
+        self.registrations.insert(record.id.clone(), record);
     }
 }
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -1,337 +1,355 @@
-//! Finding a backend server for a request: at once where one has room, else in line for
-//! a short time. A request that cannot be placed in time is refused at once, with a time
-//! to come back.
+//! Finds a backend server for a request: at once if one has capacity, otherwise after a short wait
+//! in a queue. A request that cannot be placed in time is refused at once, with a time to retry.
 //!
-//! Load that this answers: bursts of up to twice what a group bears, and groups whose
-//! passes turned slow. Serving everybody late is worth less to callers than serving as
-//! many as can be in time.
+//! This handles bursts of up to twice the load that a group can serve, and groups whose forward
+//! passes turned slow. Serving everybody late is worth less to callers than serving as many as
+//! possible in time.
 
 use crate::answer::Refusal;
-use crate::attempt::Seat;
-use crate::context::Ticket;
+use crate::attempt::SlotReservation;
+use crate::context::RequestContext;
 use crate::shared::{Shared, State};
 use bn_limit::QueuedRequest;
 use bn_route::{FillController, PickArgs, ServerId, Unavailable, Unit, fill_limit_for};
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// Load over slots up to which a backend server of a plain service is taken. Above 1 a
+/// Ratio of load to slots up to which a backend server of a plain service is picked. Above 1, a
 /// request waits in the backend server's own queue, which is closer to the next free slot.
-const ROOM: f64 = 1.0;
-/// Part of the target time that a request waits in line for a stream's place: a first
-/// event takes half of the target by itself, so what starts later is late.
-const STREAM_WAIT: f64 = 0.4;
-/// Wait of a request that cannot be in time any more: it came back after a refusal. It is
-/// served late rather than never, by places that no other request wants.
+const PLAIN_FILL_LIMIT: f64 = 1.0;
+/// Fraction of the target time that a request waits in the queue for a stream's slot: a first event
+/// takes half of the target by itself, so a stream that starts later is late.
+const STREAM_WAIT_FRACTION: f64 = 0.4;
+/// Wait of a request that can no longer be in time: it is a retry after a refusal. It is served
+/// late rather than never, in slots that no other request wants.
 const LATE_WAIT: Duration = Duration::from_millis(1_500);
-/// Longest that a request is held here before it is sent, whatever it waits for. Callers give
-/// a stream up after two seconds without an event, and a first event takes a part of them.
-pub(crate) const LONGEST_HOLD: Duration = Duration::from_millis(1_700);
-/// Requests that wait in line for one service at most. A gateway starts some 15 a second,
-/// so that those behind would wait for longer than any may.
-const MOST_WAITING: usize = 64;
-/// Between two looks while waiting, where no place was given back here: places that
-/// other gateways gave back are not seen otherwise.
-const LOOK: Duration = Duration::from_millis(25);
-/// Wait for a backend server of a service that has none: it may be registering, or
-/// its successor is.
-const EMPTY_WAIT: Duration = Duration::from_millis(300);
-/// Time to come back after a refusal: bursts last some seconds, so a place is likelier
-/// after one or two. The random part keeps those refused together apart.
-const BACK_AFTER: Duration = Duration::from_millis(900);
-const BACK_SPREAD: Duration = Duration::from_millis(1_300);
-/// Part of the time left within which callers come back; past a third they do not.
-const BACK_PART: f64 = 0.32;
-/// Random part of the time to come back to a group that stands still.
-const STILL_SPREAD: f64 = 0.1;
-/// Why requests are refused while their group stands still.
-pub(crate) const STILL: &str = "the group of backend servers stands still";
-/// Why they are refused at once where it has done so for long.
+/// Maximum time that a request is held here before it is sent, whatever it waits for. Callers
+/// abandon a stream after two seconds without an event, and a first event takes a part of them.
+pub(crate) const MAX_HOLD: Duration = Duration::from_millis(1_700);
+/// Maximum number of queued requests of one service. A gateway starts some 15 a second, so requests
+/// further back would wait longer than any may.
+const MAX_QUEUED: usize = 64;
+/// Interval between checks while waiting if no slot was released here: slots released by other
+/// gateways are not noticed otherwise.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Wait for a backend server of a service that has none: it may be registering, or its successor
+/// may be.
+const NO_SERVERS_WAIT: Duration = Duration::from_millis(300);
+/// Retry delay after a refusal: bursts last some seconds, so a slot is likelier after one or two.
+/// The jitter spreads the retries of requests refused together.
+const RETRY_BASE: Duration = Duration::from_millis(900);
+const RETRY_JITTER: Duration = Duration::from_millis(1_300);
+/// Fraction of the remaining time within which callers retry; after a third of it they do not.
+const RETRY_FRACTION: f64 = 0.32;
+/// Jitter of the retry delay for a stalled group, as a fraction.
+const STALLED_JITTER: f64 = 0.1;
+/// Why requests are refused while their group is stalled.
+pub(crate) const STALLED: &str = "the group of backend servers stands still";
+/// Why they are refused at once if it has been stalled for long.
 const DOWN: &str = "the group of backend servers is down";
-/// Why they are refused where the service has no backend server.
-const NOBODY: &str = "no backend server";
-/// Why they are refused where nothing else is known to be wrong.
+/// Why they are refused if the service has no backend server.
+const NO_SERVERS: &str = "no backend server";
+/// Why they are refused if no other problem is known.
 pub(crate) const FULL: &str = "all backend servers are full";
-/// Why they are refused where no backend server takes a request in time, as all have asked.
-const HELD: &str = "the backend servers take no more requests now";
-/// Ranks of requests: the lowest is the most urgent.
-const RANKS: u32 = 10;
+/// Why they are refused if no backend server accepts a request in time, as all have directed.
+const THROTTLED: &str = "the backend servers take no more requests now";
+/// Number of request priorities: the lowest is the most urgent.
+const PRIORITIES: u32 = 10;
 
-/// Finds a place, and takes it.
-pub(crate) async fn seat(
+/// Finds a slot and reserves it.
+pub(crate) async fn reserve(
     shared: &Shared,
-    ticket: &Ticket,
+    ctx: &RequestContext,
     tried: &[ServerId],
-) -> Result<Seat, Refusal> {
-    let began = shared.now();
-    match try_first(shared, ticket, tried) {
-        Ok(seat) => Ok(seat),
-        Err(Unavailable::NoServers) => wait_for_servers(shared, ticket, tried, began).await,
-        Err(lack) => wait_or_refuse(shared, ticket, tried, began, lack).await,
+) -> Result<SlotReservation, Refusal> {
+    let started_at = shared.now();
+    match reserve_now(shared, ctx, tried) {
+        Ok(reservation) => Ok(reservation),
+        Err(Unavailable::NoServers) => wait_for_servers(shared, ctx, tried, started_at).await,
+        Err(unavailable) => wait_or_refuse(shared, ctx, tried, started_at, unavailable).await,
     }
 }
 
-/// Waits for a backend server that is there, unless it is known that there is no use in it.
+/// Waits for one of the existing backend servers, unless waiting is known to be futile.
 async fn wait_or_refuse(
     shared: &Shared,
-    ticket: &Ticket,
+    ctx: &RequestContext,
     tried: &[ServerId],
-    began: Duration,
-    lack: Unavailable,
-) -> Result<Seat, Refusal> {
-    let until = began + patience(ticket, began);
-    let reason = match lack {
-        Unavailable::Full => return wait_in_line(shared, ticket, tried, began).await,
+    started_at: Duration,
+    unavailable: Unavailable,
+) -> Result<SlotReservation, Refusal> {
+    let until = started_at + max_queue_time(ctx, started_at);
+    let reason = match unavailable {
+        Unavailable::Full => return wait_in_queue(shared, ctx, tried, started_at).await,
         Unavailable::Throttled(Some(open_at)) if open_at <= until => {
-            return wait_in_line(shared, ticket, tried, began).await;
+            return wait_in_queue(shared, ctx, tried, started_at).await;
         }
-        Unavailable::Stalled if outwaits(ticket, began) => {
-            return wait_in_line(shared, ticket, tried, began).await;
+        Unavailable::Stalled if accepts_late(ctx, started_at) => {
+            return wait_in_queue(shared, ctx, tried, started_at).await;
         }
-        // It will stand for longer than any may wait.
-        Unavailable::Stalled => STILL,
+        // It will be stalled for longer than any request may wait.
+        Unavailable::Stalled => STALLED,
         Unavailable::Down => DOWN,
-        Unavailable::Throttled(_) => HELD,
-        Unavailable::NoServers => NOBODY,
+        Unavailable::Throttled(_) => THROTTLED,
+        Unavailable::NoServers => NO_SERVERS,
     };
-    Err(refusal(shared, ticket, reason))
+    Err(refusal(shared, ctx, reason))
 }
 
-/// A place at once, unless others wait for one that do not go behind this request.
-fn try_first(shared: &Shared, ticket: &Ticket, tried: &[ServerId]) -> Result<Seat, Unavailable> {
+/// Reserves a slot at once, unless queued requests have precedence over this one.
+fn reserve_now(
+    shared: &Shared,
+    ctx: &RequestContext,
+    tried: &[ServerId],
+) -> Result<SlotReservation, Unavailable> {
     let now = shared.now();
     let mut state = shared.state();
-    let line = state.lines.entry(ticket.service.clone()).or_default();
-    if line.has_at_least(priority(ticket, now)) {
+    let queue = state.queues.entry(ctx.service.clone()).or_default();
+    if queue.has_at_least(queue_priority(ctx, now)) {
         return Err(Unavailable::Full);
     }
-    let seat = take(shared, &mut state, ticket, tried)?;
-    if let Some(line) = state.lines.get_mut(&ticket.service) {
-        line.record_start(now);
+    let reservation = try_reserve(shared, &mut state, ctx, tried)?;
+    if let Some(queue) = state.queues.get_mut(&ctx.service) {
+        queue.record_start(now);
     }
-    Ok(seat)
+    Ok(reservation)
 }
 
-fn take(
+fn try_reserve(
     shared: &Shared,
     state: &mut State,
-    ticket: &Ticket,
+    ctx: &RequestContext,
     tried: &[ServerId],
-) -> Result<Seat, Unavailable> {
+) -> Result<SlotReservation, Unavailable> {
     let now = shared.now();
-    let late = outwaits(ticket, now);
-    let (paces, service) = (&state.paces, ticket.service.as_str());
-    let room = |unit: &str| {
+    let accepts_late_start = accepts_late(ctx, now);
+    let (fill_controllers, service) = (&state.fill_controllers, ctx.service.as_str());
+    let fill_limit = |unit: &str| {
         let streams = || {
-            known_pace(paces, unit, service)
+            find_controller(fill_controllers, unit, service)
                 .map_or(FillController::INITIAL, FillController::fill_limit)
         };
-        let room = if ticket.streams() { streams() } else { ROOM };
-        fill_limit_for(late, room)
+        let fill_limit = if ctx.streams() {
+            streams()
+        } else {
+            PLAIN_FILL_LIMIT
+        };
+        fill_limit_for(accepts_late_start, fill_limit)
     };
-    let want = PickArgs {
-        service: &ticket.service,
+    let args = PickArgs {
+        service: &ctx.service,
         tried,
-        final_attempt: tried.len() + 1 >= ticket.route.attempts as usize,
-        fill_limit: &room,
+        final_attempt: tried.len() + 1 >= ctx.route.attempts as usize,
+        fill_limit: &fill_limit,
     };
-    let picked = state.fleet.pick(now, &want, rand::random::<f64>);
+    let picked = state.fleet.pick(now, &args, rand::random::<f64>);
     let server = picked.cloned()?;
-    if ticket.streams() && !state.paces.contains_key(&server.unit) {
-        let pace = known_pace(&state.paces, &server.unit, &server.service).cloned();
+    if ctx.streams() && !state.fill_controllers.contains_key(&server.unit) {
+        let controller =
+            find_controller(&state.fill_controllers, &server.unit, &server.service).cloned();
         let unit = server.unit.clone();
-        state.paces.insert(unit, pace.unwrap_or_default());
+        state
+            .fill_controllers
+            .insert(unit, controller.unwrap_or_default());
     }
     state.fleet.record_sent(now, &server.id);
-    Ok(Seat::new(shared, server))
+    Ok(SlotReservation::new(shared, server))
 }
 
-/// FillController of a unit. What was learnt before its backend servers told their groups counts for
-/// each of them.
-fn known_pace<'a>(
-    paces: &'a IndexMap<Unit, FillController>,
+/// Fill controller of a unit. What was learnt before a service's backend servers reported their
+/// groups applies to each group.
+fn find_controller<'a>(
+    fill_controllers: &'a IndexMap<Unit, FillController>,
     unit: &str,
     service: &str,
 ) -> Option<&'a FillController> {
-    paces.get(unit).or_else(|| paces.get(service))
+    fill_controllers
+        .get(unit)
+        .or_else(|| fill_controllers.get(service))
 }
 
-/// Whether a request waits for a group that stands still to run again. One that comes for
-/// the first time is told when to come back; one that has been told so comes no more, and is
-/// better served late than not at all. So is one that waited past its target already, for the
-/// configuration, say.
-fn outwaits(ticket: &Ticket, now: Duration) -> bool {
-    ticket.came_back || now > ticket.arrived + ticket.route.target
+/// Whether a request waits for a stalled group to run again. A first attempt is told when to retry;
+/// a retry will not be repeated, so serving it late is better than not at all. The same holds for a
+/// request that has already waited past its target, for example for the configuration.
+fn accepts_late(ctx: &RequestContext, now: Duration) -> bool {
+    ctx.is_retry || now > ctx.arrived + ctx.route.target
 }
 
-/// Place in line: by rank, and within one those first that can still be in time.
-fn priority(ticket: &Ticket, now: Duration) -> u32 {
-    let fresh = u32::from(!outwaits(ticket, now));
-    2 * RANKS.saturating_sub(ticket.rank) + fresh
+/// Position in the queue: by priority, and within one, requests that can still be in time go first.
+fn queue_priority(ctx: &RequestContext, now: Duration) -> u32 {
+    let in_time = u32::from(!accepts_late(ctx, now));
+    2 * PRIORITIES.saturating_sub(ctx.priority) + in_time
 }
 
 async fn wait_for_servers(
     shared: &Shared,
-    ticket: &Ticket,
+    ctx: &RequestContext,
     tried: &[ServerId],
-    began: Duration,
-) -> Result<Seat, Refusal> {
-    let until = match outwaits(ticket, began) {
-        true => began + patience(ticket, began),
-        false => began + EMPTY_WAIT.min(ticket.left(began) / 3),
+    started_at: Duration,
+) -> Result<SlotReservation, Refusal> {
+    let until = match accepts_late(ctx, started_at) {
+        true => started_at + max_queue_time(ctx, started_at),
+        false => started_at + NO_SERVERS_WAIT.min(ctx.remaining(started_at) / 3),
     };
     loop {
-        pause(shared).await;
-        match try_first(shared, ticket, tried) {
-            Ok(seat) => return Ok(seat),
+        wait_for_capacity(shared).await;
+        match reserve_now(shared, ctx, tried) {
+            Ok(reservation) => return Ok(reservation),
             Err(Unavailable::NoServers) if shared.now() < until => {}
-            Err(lack) => return wait_or_refuse(shared, ticket, tried, began, lack).await,
+            Err(unavailable) => {
+                return wait_or_refuse(shared, ctx, tried, started_at, unavailable).await;
+            }
         }
     }
 }
 
-/// How long a request may wait in line. One that is late already goes behind those that
-/// can still be in time, but may wait for longer.
-fn patience(ticket: &Ticket, now: Duration) -> Duration {
-    let most = match (outwaits(ticket, now), ticket.streams()) {
+/// How long a request may wait in the queue. One that is already late goes behind those that can
+/// still be in time, but may wait for longer.
+fn max_queue_time(ctx: &RequestContext, now: Duration) -> Duration {
+    let limit = match (accepts_late(ctx, now), ctx.streams()) {
         (true, _) => LATE_WAIT,
-        (false, true) => ticket.route.target.mul_f64(STREAM_WAIT),
-        (false, false) => ticket.route.target,
+        (false, true) => ctx.route.target.mul_f64(STREAM_WAIT_FRACTION),
+        (false, false) => ctx.route.target,
     };
-    let held = now.saturating_sub(ticket.arrived);
-    most.min(ticket.left(now) / 3)
-        .min(LONGEST_HOLD.saturating_sub(held))
+    let waited = now.saturating_sub(ctx.arrived);
+    limit
+        .min(ctx.remaining(now) / 3)
+        .min(MAX_HOLD.saturating_sub(waited))
 }
 
-async fn wait_in_line(
+async fn wait_in_queue(
     shared: &Shared,
-    ticket: &Ticket,
+    ctx: &RequestContext,
     tried: &[ServerId],
-    began: Duration,
-) -> Result<Seat, Refusal> {
-    let until = began + patience(ticket, began);
+    started_at: Duration,
+) -> Result<SlotReservation, Refusal> {
+    let until = started_at + max_queue_time(ctx, started_at);
     let waiting = QueuedRequest {
         id: rand::random(),
-        account: ticket.account.clone().unwrap_or_default(),
-        priority: priority(ticket, began),
+        account: ctx.account.clone().unwrap_or_default(),
+        priority: queue_priority(ctx, started_at),
         share: 1,
         deadline: until,
     };
-    let spot = match Spot::join(shared, ticket, waiting) {
-        Some(spot) => spot,
+    let entry = match QueueEntry::enqueue(shared, ctx, waiting) {
+        Some(entry) => entry,
         // It is known now that its turn would come too late.
-        None => return Err(refusal(shared, ticket, "the line is too long")),
+        None => return Err(refusal(shared, ctx, "the line is too long")),
     };
     loop {
-        pause(shared).await;
-        if let Some(seat) = spot.advance(tried) {
-            return Ok(seat);
+        wait_for_capacity(shared).await;
+        if let Some(reservation) = entry.reserve_if_first(tried) {
+            return Ok(reservation);
         }
-        if !outwaits(ticket, began) && shared.state().fleet.is_stalled(&ticket.service) {
-            return Err(refusal(shared, ticket, STILL));
+        if !accepts_late(ctx, started_at) && shared.state().fleet.is_stalled(&ctx.service) {
+            return Err(refusal(shared, ctx, STALLED));
         }
-        // Callers must not be held for a group that was never whole, or is not coming back.
-        if shared.state().fleet.is_down(shared.now(), &ticket.service) {
-            return Err(refusal(shared, ticket, DOWN));
+        // Callers must not be held for a group that was never complete or does not recover.
+        if shared.state().fleet.is_down(shared.now(), &ctx.service) {
+            return Err(refusal(shared, ctx, DOWN));
         }
         if shared.now() >= until {
-            let held = shared
+            let throttled = shared
                 .state()
                 .fleet
-                .is_throttled(shared.now(), &ticket.service);
-            let reason = if held { HELD } else { FULL };
-            return Err(refusal(shared, ticket, reason));
+                .is_throttled(shared.now(), &ctx.service);
+            let reason = if throttled { THROTTLED } else { FULL };
+            return Err(refusal(shared, ctx, reason));
         }
     }
 }
 
-/// Waits for a place given back here, or for the next look.
-async fn pause(shared: &Shared) {
-    // Either wakes: only the look at the fleet decides.
-    let _ = tokio::time::timeout(LOOK, shared.room.notified()).await;
+/// Waits for a slot released here, or for the next check.
+async fn wait_for_capacity(shared: &Shared) {
+    // Either wakes the request: only the check of the fleet decides.
+    let _ = tokio::time::timeout(POLL_INTERVAL, shared.capacity_freed.notified()).await;
 }
 
-/// A request's place in line, given up when dropped: callers may leave.
-struct Spot<'a> {
+/// A request's position in the queue, released on drop: callers may disconnect.
+struct QueueEntry<'a> {
     shared: &'a Shared,
-    ticket: &'a Ticket,
+    ctx: &'a RequestContext,
     id: u64,
 }
 
-impl<'a> Spot<'a> {
-    fn join(shared: &'a Shared, ticket: &'a Ticket, waiting: QueuedRequest) -> Option<Spot<'a>> {
+impl<'a> QueueEntry<'a> {
+    fn enqueue(
+        shared: &'a Shared,
+        ctx: &'a RequestContext,
+        waiting: QueuedRequest,
+    ) -> Option<QueueEntry<'a>> {
         let id = waiting.id;
         let now = shared.now();
-        let joined = {
+        let enqueued = {
             let mut state = shared.state();
-            let line = state.lines.entry(ticket.service.clone()).or_default();
-            line.push(now, waiting, MOST_WAITING).is_ok()
+            let queue = state.queues.entry(ctx.service.clone()).or_default();
+            queue.push(now, waiting, MAX_QUEUED).is_ok()
         };
-        // Made only after the state is unlocked: a spot that is dropped locks it again.
-        match joined {
-            true => Some(Spot { shared, ticket, id }),
+        // Created only after the state is unlocked: dropping a queue entry locks it again.
+        match enqueued {
+            true => Some(QueueEntry { shared, ctx, id }),
             false => None,
         }
     }
 
-    /// Takes a place if it is this one's turn and there is one.
-    fn advance(&self, tried: &[ServerId]) -> Option<Seat> {
+    /// Reserves a slot if this request is first in the queue and a slot is free.
+    fn reserve_if_first(&self, tried: &[ServerId]) -> Option<SlotReservation> {
         let now = self.shared.now();
-        let service = &self.ticket.service;
+        let service = &self.ctx.service;
         let mut state = self.shared.state();
-        let first = state.lines.get(service)?.start_order().first().copied();
+        let first = state.queues.get(service)?.start_order().first().copied();
         if first != Some(self.id) {
             return None;
         }
-        let seat = take(self.shared, &mut state, self.ticket, tried).ok()?;
-        if let Some(line) = state.lines.get_mut(service) {
-            line.start(now, self.id);
+        let reservation = try_reserve(self.shared, &mut state, self.ctx, tried).ok()?;
+        if let Some(queue) = state.queues.get_mut(service) {
+            queue.start(now, self.id);
         }
-        Some(seat)
+        Some(reservation)
     }
 }
 
-impl Drop for Spot<'_> {
+impl Drop for QueueEntry<'_> {
     fn drop(&mut self) {
         let mut state = self.shared.state();
-        if let Some(line) = state.lines.get_mut(&self.ticket.service) {
-            line.remove_if(|w| w.id == self.id);
+        if let Some(queue) = state.queues.get_mut(&self.ctx.service) {
+            queue.remove_if(|r| r.id == self.id);
         }
     }
 }
 
-fn refusal(shared: &Shared, ticket: &Ticket, reason: &'static str) -> Refusal {
-    Refusal::later(reason, back_after(shared, ticket))
+fn refusal(shared: &Shared, ctx: &RequestContext, reason: &'static str) -> Refusal {
+    Refusal::retryable(reason, retry_after_for(shared, ctx))
 }
 
-/// When a refused caller may come back. A group that stands still does so for some seconds:
-/// then as late as callers follow.
-pub(crate) fn back_after(shared: &Shared, ticket: &Ticket) -> Duration {
+/// When a refused caller should retry. A stalled group remains so for some seconds: then the latest
+/// time at which callers still follow the advice.
+pub(crate) fn retry_after_for(shared: &Shared, ctx: &RequestContext) -> Duration {
     let now = shared.now();
-    let left = ticket.left(now);
-    let (still, open_at) = {
+    let left = ctx.remaining(now);
+    let (stalled, open_at) = {
         let fleet = &shared.state().fleet;
-        let held = fleet.is_throttled(now, &ticket.service);
-        let open_at = fleet.next_send_at(&ticket.service).filter(|_| held);
-        (fleet.is_stalled(&ticket.service), open_at)
+        let throttled = fleet.is_throttled(now, &ctx.service);
+        let open_at = fleet.next_send_at(&ctx.service).filter(|_| throttled);
+        (fleet.is_stalled(&ctx.service), open_at)
     };
-    if still {
-        return latest_back(left);
+    if stalled {
+        return latest_retry(left);
     }
-    // Other gateways may serve it at once where only they send.
-    let free = open_at.unwrap_or_default().saturating_sub(now);
-    let after = free.max(BACK_AFTER) + BACK_SPREAD.mul_f64(rand::random());
-    let latest = left.mul_f64(BACK_PART);
-    // Who is back at the latest time waits for the rest of it in line. Before a later end
-    // nobody should come back.
-    let waits = LATE_WAIT.min(left.saturating_sub(latest) / 3);
-    match free <= latest + waits {
+    // Other gateways may serve it at once if only they send.
+    let opens_in = open_at.unwrap_or_default().saturating_sub(now);
+    let after = opens_in.max(RETRY_BASE) + RETRY_JITTER.mul_f64(rand::random());
+    let latest = left.mul_f64(RETRY_FRACTION);
+    // A caller that retries at the latest time waits for the rest in the queue. If the throttling
+    // ends even later, nobody should retry before its end.
+    let max_wait = LATE_WAIT.min(left.saturating_sub(latest) / 3);
+    match opens_in <= latest + max_wait {
         true => after.min(latest),
         false => after,
     }
 }
 
-/// About the latest time at which a caller that waits for `left` more still comes back.
-pub(crate) fn latest_back(left: Duration) -> Duration {
-    left.mul_f64(BACK_PART * (1.0 - STILL_SPREAD * rand::random::<f64>()))
+/// About the latest time at which a caller that waits for `remaining` more still retries.
+pub(crate) fn latest_retry(left: Duration) -> Duration {
+    left.mul_f64(RETRY_FRACTION * (1.0 - STALLED_JITTER * rand::random::<f64>()))
 }
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -1,10 +1,10 @@
-//! Plain answers: taken whole before a byte goes on, so that what a caller gets is whole
-//! or is no success.
+//! Plain responses: read completely before a byte is forwarded, so that what a caller gets is
+//! complete or is not a success.
 
 use crate::answer::Refusal;
 use crate::attempt::{self, Head};
-use crate::context::{Ticket, strip_hop};
-use crate::dispatch::{self, Tries};
+use crate::context::{RequestContext, strip_hop_by_hop};
+use crate::dispatch::{self, Attempts};
 use crate::shared::Shared;
 use crate::suspects::{self, Run};
 use bn_platform::header;
@@ -15,95 +15,98 @@
 use hyper::http::response::Parts;
 use std::convert::Infallible;
 
-/// Largest plain answer that is taken whole.
-const LARGEST: usize = 16 << 20;
+/// Maximum size of a plain response body.
+const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// A whole answer.
-pub(crate) struct Whole {
+/// A complete response.
+pub(crate) struct CompleteAnswer {
     parts: Parts,
     body: Bytes,
 }
 
-/// Serves a request whose answer is taken whole.
+/// Serves a request whose response is read completely.
 pub(crate) async fn serve(
     shared: &Shared,
-    ticket: &Ticket,
-    tries: &mut Tries,
+    ctx: &RequestContext,
+    attempts: &mut Attempts,
 ) -> Result<Response<Body>, Refusal> {
-    let mut spare: Option<Whole> = None;
+    let mut failed_answer: Option<CompleteAnswer> = None;
     loop {
-        let head = match dispatch::offer(shared, ticket, tries, None).await {
+        let head = match dispatch::dispatch(shared, ctx, attempts, None).await {
             Ok(head) => head,
-            // A backend server's own failure says more than ours.
-            Err(refusal) => return spare.map(response).ok_or(refusal),
+            // A backend server's own error says more than the gateway's.
+            Err(refusal) => return failed_answer.map(response).ok_or(refusal),
         };
-        let id = head.seat.server.id.clone();
-        let run = Run::at(&head.seat.server);
-        let whole = match collect(shared, head).await {
-            Ok(whole) => whole,
-            Err(flaw) => {
-                if flaw == Flaw::Broke {
-                    suspects::lost(shared, ticket, tries, &run, false);
+        let id = head.reservation.server.id.clone();
+        let run = Run::at(&head.reservation.server);
+        let answer = match collect(shared, head).await {
+            Ok(answer) => answer,
+            Err(error) => {
+                if error == CollectError::Incomplete {
+                    suspects::on_run_lost(shared, ctx, attempts, &run, false);
                 }
-                dispatch::note(shared, ticket, &id, "cut", "the answer broke off");
-                dispatch::fail(shared, &id, false);
-                if dispatch::again(shared, ticket, tries) {
+                dispatch::log_failure(shared, ctx, &id, "cut", "the answer broke off");
+                dispatch::record_failure(shared, &id, false);
+                if dispatch::take_retry(shared, ctx, attempts) {
                     continue;
                 }
                 let lost = Refusal::unknown(502, "the answer broke off");
-                return spare.map(response).ok_or(lost);
+                return failed_answer.map(response).ok_or(lost);
             }
         };
-        let failed = whole.parts.status.is_server_error();
+        let failed = answer.parts.status.is_server_error();
         if !failed {
             let now = shared.now();
             shared.state().fleet.record_success(now, &id);
-            suspects::whole(shared, ticket);
-            return Ok(response(whole));
+            suspects::on_complete(shared, ctx);
+            return Ok(response(answer));
         }
-        let status = whole.parts.status.as_str().to_string();
-        dispatch::note(shared, ticket, &id, "failed", &status);
-        dispatch::fail(shared, &id, false);
-        if !dispatch::again(shared, ticket, tries) {
-            return Ok(response(whole));
+        let status = answer.parts.status.as_str().to_string();
+        dispatch::log_failure(shared, ctx, &id, "failed", &status);
+        dispatch::record_failure(shared, &id, false);
+        if !dispatch::take_retry(shared, ctx, attempts) {
+            return Ok(response(answer));
         }
-        spare = Some(whole);
+        failed_answer = Some(answer);
     }
 }
 
-/// Why there is no whole answer.
+/// Why there is no complete response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Flaw {
+pub(crate) enum CollectError {
     /// It broke off.
-    Broke,
-    /// It is no backend server's own: it claims success without the mark of one.
-    Unmarked,
+    Incomplete,
+    /// It is not a backend server's own: it claims success without a backend server's signature.
+    Unsigned,
 }
 
-/// The whole answer of a backend server.
-pub(crate) async fn collect(shared: &Shared, head: Box<Head>) -> Result<Whole, Flaw> {
+/// Reads the complete response of a backend server.
+pub(crate) async fn collect(
+    shared: &Shared,
+    head: Box<Head>,
+) -> Result<CompleteAnswer, CollectError> {
     let Head {
         response,
         connection,
-        seat,
+        reservation,
     } = *head;
     let (parts, body) = response.into_parts();
-    let marked = parts.headers.contains_key(header::SIGNATURE);
-    let limit = attempt::idle_limit(&parts.headers);
-    let body = Limited::new(body, LARGEST).collect().await;
-    let body = body.map_err(|_| Flaw::Broke)?.to_bytes();
-    shared.pool.keep(shared.now(), connection, limit);
-    drop(seat);
-    match marked || !parts.status.is_success() {
-        true => Ok(Whole { parts, body }),
-        false => Err(Flaw::Unmarked),
+    let signed = parts.headers.contains_key(header::SIGNATURE);
+    let idle_timeout = attempt::keep_alive_timeout(&parts.headers);
+    let body = Limited::new(body, MAX_BODY_BYTES).collect().await;
+    let body = body.map_err(|_| CollectError::Incomplete)?.to_bytes();
+    shared.pool.keep(shared.now(), connection, idle_timeout);
+    drop(reservation);
+    match signed || !parts.status.is_success() {
+        true => Ok(CompleteAnswer { parts, body }),
+        false => Err(CollectError::Unsigned),
     }
 }
 
-/// What the caller gets of a whole answer.
-pub(crate) fn response(whole: Whole) -> Response<Body> {
-    let Whole { mut parts, body } = whole;
-    strip_hop(&mut parts.headers);
+/// The response sent to the caller.
+pub(crate) fn response(answer: CompleteAnswer) -> Response<Body> {
+    let CompleteAnswer { mut parts, body } = answer;
+    strip_hop_by_hop(&mut parts.headers);
     parts.headers.remove("content-length");
     parts.headers.remove(header::LOAD);
     let body = Full::new(body).map_err(|e: Infallible| match e {});
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -1,5 +1,4 @@
-//! State that all requests of a gateway share. It is locked for moments only, never
-//! across a wait.
+//! State shared by all requests of a gateway. It is locked only briefly, never across an await.
 
 use crate::suspects::Report;
 use bn_directory::GatewaySelection;
@@ -18,12 +17,13 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Notify, mpsc, watch};
 
-/// Between two looks whether a configuration has come.
-const PLAN_LOOK: Duration = Duration::from_millis(25);
-/// Between two lines on the room of services: it changes several times a second.
-const ROOM_LINE_GAP: Duration = Duration::from_secs(1);
+/// Interval between checks for a first configuration.
+const DOCUMENT_POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Minimum interval between events on the fill limit of services: it changes several times a
+/// second.
+const FILL_EVENT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// One gateway. Cheap to clone.
+/// The state of one gateway. Cheap to clone.
 #[derive(Clone)]
 pub(crate) struct Shared(Arc<Inner>);
 
@@ -32,51 +32,51 @@
     state: Mutex<State>,
     pub(crate) pool: Pool,
     pub(crate) lines: Lines,
-    /// Rings when room may have come up.
-    pub(crate) room: Notify,
+    /// Notified when capacity may have become free.
+    pub(crate) capacity_freed: Notify,
     pub(crate) allowance: RetryAllowance,
-    /// Turns true when a graceful stop begins.
+    /// Becomes true when a graceful stop starts.
     pub(crate) closing: watch::Sender<bool>,
-    /// The stop has come so far that nothing more is taken in.
-    shut: AtomicBool,
+    /// The stop has proceeded so far that no more requests are accepted.
+    stopped_accepting: AtomicBool,
     /// Requests in flight.
-    open: AtomicU32,
-    /// Requests taken in since the start.
-    taken: AtomicU64,
-    /// What the link tells the coordinators.
+    in_flight: AtomicU32,
+    /// Requests accepted since the start.
+    accepted: AtomicU64,
+    /// Reports that the link sends to the coordinators.
     pub(crate) reports: mpsc::Sender<Report>,
 }
 
-/// What is believed and counted.
+/// Known state and counters.
 pub(crate) struct State {
-    /// The document in force; none until a coordinator told it.
-    pub(crate) plan: Option<Arc<Document>>,
+    /// The document in force; none until a coordinator has sent one.
+    pub(crate) document: Option<Arc<Document>>,
     pub(crate) fleet: Fleet,
-    pub(crate) retries: IndexMap<String, RetryBudget>,
-    /// Requests that wait for a place, by service.
-    pub(crate) lines: IndexMap<String, Queue>,
-    /// Room of what streams, by unit.
-    pub(crate) paces: IndexMap<Unit, FillController>,
-    /// When the next line on room is due.
-    room_line_due: Duration,
+    pub(crate) retry_budgets: IndexMap<String, RetryBudget>,
+    /// Requests that wait for a slot, by service.
+    pub(crate) queues: IndexMap<String, Queue>,
+    /// Fill controllers of streaming services, by unit.
+    pub(crate) fill_controllers: IndexMap<Unit, FillController>,
+    /// When the next event on the fill limit is due.
+    fill_event_due: Duration,
     /// How long callers wait, by route.
-    pub(crate) patience: RetryDetector,
-    /// Gateways that share the retry budget.
-    pub(crate) gateways: u32,
+    pub(crate) retry_detector: RetryDetector,
+    /// Number of gateways that share the retry budget.
+    pub(crate) gateway_count: u32,
     /// Gateways that callers are sent to.
-    pub(crate) named: GatewaySelection,
-    /// Requests under which backend servers ended, as coordinators tell them.
+    pub(crate) selection: GatewaySelection,
+    /// Requests under which backend servers terminated, as reported by coordinators.
     pub(crate) cases: Table,
-    /// Runs that were lost here.
-    pub(crate) watch: LossTracker,
+    /// Runs that were lost at this gateway.
+    pub(crate) loss_tracker: LossTracker,
 }
 
 impl State {
-    /// What a backend server is a part of stands still: what was learnt of it is void.
-    pub(crate) fn forget_pace_of(&mut self, id: &str) {
+    /// The unit of a backend server is stalled: what its fill controller has learnt is void.
+    pub(crate) fn reset_fill_controller(&mut self, id: &str) {
         let unit = self.fleet.get(id).map(|s| &s.unit);
-        if let Some(pace) = unit.and_then(|u| self.paces.get_mut(u)) {
-            pace.reset();
+        if let Some(controller) = unit.and_then(|u| self.fill_controllers.get_mut(u)) {
+            controller.reset();
         }
     }
 }
@@ -97,29 +97,29 @@
         reports: mpsc::Sender<Report>,
     ) -> Shared {
         let state = State {
-            plan: None,
+            document: None,
             fleet: Fleet::new(domain),
-            retries: IndexMap::new(),
-            lines: IndexMap::new(),
-            paces: IndexMap::new(),
-            room_line_due: Duration::ZERO,
-            patience: RetryDetector::default(),
-            gateways: 1,
-            named: GatewaySelection::default(),
+            retry_budgets: IndexMap::new(),
+            queues: IndexMap::new(),
+            fill_controllers: IndexMap::new(),
+            fill_event_due: Duration::ZERO,
+            retry_detector: RetryDetector::default(),
+            gateway_count: 1,
+            selection: GatewaySelection::default(),
             cases: Table::default(),
-            watch: LossTracker::default(),
+            loss_tracker: LossTracker::default(),
         };
         Shared(Arc::new(Inner {
             start: Instant::now(),
             state: Mutex::new(state),
             pool: Pool::default(),
             lines,
-            room: Notify::new(),
+            capacity_freed: Notify::new(),
             allowance,
             closing: watch::channel(false).0,
-            shut: AtomicBool::new(false),
-            open: AtomicU32::new(0),
-            taken: AtomicU64::new(0),
+            stopped_accepting: AtomicBool::new(false),
+            in_flight: AtomicU32::new(0),
+            accepted: AtomicU64::new(0),
             reports,
         }))
     }
@@ -135,18 +135,18 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn plan(&self) -> Option<Arc<Document>> {
-        self.state().plan.clone()
+    pub(crate) fn document(&self) -> Option<Arc<Document>> {
+        self.state().document.clone()
     }
 
-    /// The document in force; waits for the first one until then.
-    pub(crate) async fn plan_by(&self, until: Duration) -> Option<Arc<Document>> {
+    /// Returns the document in force; waits for the first one until then.
+    pub(crate) async fn wait_for_document(&self, until: Duration) -> Option<Arc<Document>> {
         loop {
-            let plan = self.plan();
-            if plan.is_some() || self.now() >= until {
-                return plan;
+            let document = self.document();
+            if document.is_some() || self.now() >= until {
+                return document;
             }
-            tokio::time::sleep(PLAN_LOOK).await;
+            tokio::time::sleep(DOCUMENT_POLL_INTERVAL).await;
         }
     }
 
@@ -154,118 +154,125 @@
         *self.closing.borrow()
     }
 
-    /// Takes nothing more in.
-    pub(crate) fn shut(&self) {
-        self.shut.store(true, Ordering::Relaxed);
+    /// Stops accepting requests.
+    pub(crate) fn stop_accepting(&self) {
+        self.stopped_accepting.store(true, Ordering::Relaxed);
     }
 
-    pub(crate) fn is_shut(&self) -> bool {
-        self.shut.load(Ordering::Relaxed)
+    pub(crate) fn has_stopped_accepting(&self) -> bool {
+        self.stopped_accepting.load(Ordering::Relaxed)
     }
 
-    /// Callers may be sent here: it knows what is settled and is not stopping.
+    /// Whether callers may be sent here: this gateway knows the settled configuration and is not
+    /// stopping.
     pub(crate) fn is_ready(&self) -> bool {
-        !self.is_closing() && self.state().plan.is_some()
+        !self.is_closing() && self.state().document.is_some()
     }
 
-    /// A stream from `server` brought an event `pause` after the one before.
-    pub(crate) fn saw_pause(&self, server: &Server, pause: Duration, limit: Duration) {
+    /// Records that a stream from `server` delivered an event `pause` after the previous one.
+    pub(crate) fn record_pause(&self, server: &Server, pause: Duration, max_pause: Duration) {
         let Server { service, unit, .. } = server;
         let now = self.now();
         let mut state = self.state();
         let State {
-            paces,
+            fill_controllers,
             fleet,
-            plan,
-            lines: queues,
-            room_line_due,
+            document,
+            queues,
+            fill_event_due,
             ..
         } = &mut *state;
-        let Some(pace) = paces.get_mut(unit) else {
-            // Made when the stream was placed.
+        let Some(controller) = fill_controllers.get_mut(unit) else {
+            // Created when the stream was placed.
             return;
         };
-        let engine = plan
+        let engine = document
             .as_ref()
             .and_then(|p| p.services().get(service)?.engine);
         let bounds = PauseBounds {
-            max_pause: limit,
+            max_pause,
             idle_pass: engine.map_or(Duration::ZERO, |e| {
                 e.unloaded_pass().mul_f64(fleet.max_slowdown(unit))
             }),
         };
-        let judged = pace.observe_pause(now, pause, bounds, || fleet.mean_load(now, unit));
-        let Some(judged) = judged else {
+        let update = controller.observe_pause(now, pause, bounds, || fleet.mean_load(now, unit));
+        let Some(update) = update else {
             return;
         };
-        metrics::gauge!("service_room", "unit" => unit.clone()).set(judged.fill_limit);
-        if now < *room_line_due {
+        metrics::gauge!("service_room", "unit" => unit.clone()).set(update.fill_limit);
+        if now < *fill_event_due {
             return;
         }
-        *room_line_due = now + ROOM_LINE_GAP;
+        *fill_event_due = now + FILL_EVENT_INTERVAL;
         let fields = json!({
-            "service": service, "unit": unit, "room": judged.fill_limit, "load": judged.load,
-            "pause": judged.pause, "waiting": queues.get(service).map_or(0, Queue::len),
+            "service": service, "unit": unit, "room": update.fill_limit, "load": update.load,
+            "pause": update.pause, "waiting": queues.get(service).map_or(0, Queue::len),
         });
         self.lines.put("room", fields);
     }
 
-    /// Most room of the units of a service, where it streams, and requests that wait for a place.
-    pub(crate) fn room_of(&self, service: &str) -> (Option<f64>, usize) {
+    /// Maximum fill limit of the units of a service, if it streams, and the number of queued
+    /// requests.
+    pub(crate) fn fill_and_queue(&self, service: &str) -> (Option<f64>, usize) {
         let state = self.state();
         let units = state.fleet.units_of(service).into_iter();
-        let rooms = units.filter_map(|u| state.paces.get(u).map(FillController::fill_limit));
-        let room = rooms.reduce(f64::max);
-        (room, state.lines.get(service).map_or(0, Queue::len))
+        let limits = units.filter_map(|u| {
+            state
+                .fill_controllers
+                .get(u)
+                .map(FillController::fill_limit)
+        });
+        let limit = limits.reduce(f64::max);
+        (limit, state.queues.get(service).map_or(0, Queue::len))
     }
 
-    /// Whether a caller of a route that waits for `deadline` more has asked before.
-    pub(crate) fn came_back(&self, route: &str, deadline: Duration) -> bool {
+    /// Whether a caller of a route that waits for `deadline` more is retrying.
+    pub(crate) fn is_retry(&self, route: &str, deadline: Duration) -> bool {
         let now = self.now();
-        self.state().patience.is_retry(now, route, deadline)
+        self.state().retry_detector.is_retry(now, route, deadline)
     }
 
-    /// A request for `service` came in; the retry budget grows with it.
+    /// Counts an incoming request for `service`; the retry budget grows with it.
     pub(crate) fn count_request(&self, service: &str) {
-        self.taken.fetch_add(1, Ordering::Relaxed);
+        self.accepted.fetch_add(1, Ordering::Relaxed);
         let now = self.now();
         let mut state = self.state();
-        let retries = state.retries.entry(service.into()).or_default();
-        retries.record_request(now, &self.allowance);
+        let budget = state.retry_budgets.entry(service.into()).or_default();
+        budget.record_request(now, &self.allowance);
     }
 
-    /// Requests taken in since the start.
-    pub(crate) fn taken(&self) -> u64 {
-        self.taken.load(Ordering::Relaxed)
+    /// Requests accepted since the start.
+    pub(crate) fn accepted(&self) -> u64 {
+        self.accepted.load(Ordering::Relaxed)
     }
 
     /// Requests in flight.
-    pub(crate) fn open(&self) -> u32 {
-        self.open.load(Ordering::Relaxed)
+    pub(crate) fn in_flight(&self) -> u32 {
+        self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// A second try for `service`, if the budget has one.
-    pub(crate) fn may_retry(&self, service: &str) -> bool {
+    /// Withdraws a retry for `service`, if the budget has one.
+    pub(crate) fn try_withdraw_retry(&self, service: &str) -> bool {
         let now = self.now();
         let mut state = self.state();
-        let gateways = state.gateways;
-        let retries = state.retries.entry(service.into()).or_default();
-        retries.try_withdraw(now, &self.allowance, gateways)
+        let gateway_count = state.gateway_count;
+        let budget = state.retry_budgets.entry(service.into()).or_default();
+        budget.try_withdraw(now, &self.allowance, gateway_count)
     }
 }
 
-/// Counts a request as in flight while it lives.
-pub(crate) struct Flight(Shared);
+/// Counts a request as in flight until dropped.
+pub(crate) struct InFlightGuard(Shared);
 
-impl Flight {
-    pub(crate) fn begin(shared: &Shared) -> Flight {
-        shared.open.fetch_add(1, Ordering::Relaxed);
-        Flight(shared.clone())
+impl InFlightGuard {
+    pub(crate) fn start(shared: &Shared) -> InFlightGuard {
+        shared.in_flight.fetch_add(1, Ordering::Relaxed);
+        InFlightGuard(shared.clone())
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.0.open.fetch_sub(1, Ordering::Relaxed);
+        self.0.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/crates/gateway/src/sources.rs
+++ b/crates/gateway/src/sources.rs
@@ -1,8 +1,8 @@
-//! The coordinators that a gateway asks for news, one after the other.
+//! The coordinators that a gateway polls for updates, one after the other.
 //!
-//! If a large fleet's gateways asked each of them several times a second, answering would be a good
-//! part of what a coordinator does. Asked in turn, what any of them learns is known a fraction of a
-//! second later.
+//! If the gateways of a large fleet polled each coordinator several times a second, responding
+//! would be a good part of a coordinator's work. With polling in turn, what any of them learns is
+//! known here a fraction of a second later.
 
 use indexmap::IndexMap;
 use siphasher::sip::SipHasher13;
@@ -10,65 +10,67 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Between two asks of the same coordinator: also how often it hears that this gateway lives.
-const ROUND: Duration = Duration::from_millis(800);
-/// Least time between two asks, however many coordinators there are.
-const LEAST_GAP: Duration = Duration::from_millis(100);
-/// Asks without an answer after which a link is taken for dead: 1.6 s.
-const SILENT_ASKS: u32 = 2;
-/// Coordinators that tell a gateway of backend servers. What one of them does not hear, the other
-/// does; with all of them, each change would come as often as there are coordinators.
+/// Interval between two polls of the same coordinator: also how often it receives a sign of life
+/// from this gateway.
+const POLL_PERIOD: Duration = Duration::from_millis(800);
+/// Minimum interval between two polls, however many coordinators there are.
+const MIN_INTERVAL: Duration = Duration::from_millis(100);
+/// Unanswered polls after which a link is considered dead: 1.6 s.
+const MAX_UNANSWERED: u32 = 2;
+/// Coordinators that send a gateway the registrations of backend servers. What one of them misses,
+/// the other receives; if all sent them, each change would arrive as often as there are
+/// coordinators.
 const SUBSCRIPTIONS: usize = 2;
-/// Silent asks after which one that is no longer named is forgotten.
-const FORGOTTEN: u32 = 4 * SILENT_ASKS;
+/// Unanswered polls after which a coordinator that is no longer a member is evicted.
+const EVICT_UNANSWERED: u32 = 4 * MAX_UNANSWERED;
 
-/// What a coordinator told last.
+/// Last state received from a coordinator.
 #[derive(Debug, Clone, Default)]
 struct Source {
     incarnation: u64,
-    mark: u64,
-    cases: u64,
+    cursor: u64,
+    case_cursor: u64,
     unanswered: u32,
-    /// It was asked to tell of backend servers.
+    /// It was asked to send registrations of backend servers.
     subscribed: bool,
 }
 
-/// What is said in an ask to a coordinator.
+/// What a poll of a coordinator says, and how its link is treated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Position {
-    /// Start of the coordinator's process that the mark is of.
+pub struct PollState {
+    /// Incarnation of the coordinator's process that the cursor belongs to.
     pub incarnation: u64,
-    /// Registrations are known up to there.
-    pub mark: u64,
-    /// Cases are known up to there.
-    pub cases: u64,
-    /// The last asks were not answered: the link back may be dead.
-    pub unheard: bool,
-    /// The link to it should be opened anew.
+    /// Registrations are known up to this change.
+    pub cursor: u64,
+    /// Cases are known up to this change.
+    pub case_cursor: u64,
+    /// The last polls were not answered: the link back may be dead.
+    pub unanswered: bool,
+    /// The link to it should be reopened.
     pub reopen: bool,
-    /// It is taken for lost from now on.
+    /// It is considered lost from now on.
     pub lost: bool,
-    /// Others tell of backend servers.
-    pub brief: bool,
+    /// Other coordinators send the registrations of backend servers.
+    pub omit_registrations: bool,
 }
 
-/// What a coordinator told of registrations.
+/// Range of registration changes in a coordinator's update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Telling {
-    /// Start of its process.
+pub struct UpdateRange {
+    /// Incarnation of its process.
     pub incarnation: u64,
-    /// They are known up to there; 0 where it says nothing of that.
-    pub mark: u64,
-    /// Where it went on from.
+    /// They are known up to this change; 0 if the update says nothing of registrations.
+    pub cursor: u64,
+    /// The change after which the update starts.
     pub after: u64,
 }
 
-/// What a telling was.
+/// Effect of an update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Heard {
-    /// The coordinator had been taken for lost.
+pub struct Receipt {
+    /// The coordinator had been considered lost.
     pub regained: bool,
-    /// Something before it is not known yet, and has to be asked for.
+    /// Changes before the update are missing and have to be requested.
     pub gap: bool,
 }
 
@@ -76,124 +78,128 @@
 #[derive(Debug, Clone)]
 pub struct Sources {
     seeds: Vec<SocketAddr>,
-    rows: IndexMap<SocketAddr, Source>,
+    sources: IndexMap<SocketAddr, Source>,
     next: usize,
-    /// Makes each gateway choose others to be told by.
+    /// Makes each gateway choose different coordinators to subscribe to.
     salt: u64,
 }
 
 impl Sources {
-    /// Begins with those that the settings name, at the `first` of them, a random number: gateways that
-    /// start together should not all ask the same one, nor be told by the same ones.
+    /// Starts with those that the settings name, at index `first`, a random number: gateways that
+    /// start together should not all poll the same coordinator, nor all subscribe to the same ones.
     pub fn new(seeds: Vec<SocketAddr>, first: usize) -> Sources {
-        let rows = seeds.iter().map(|s| (*s, Source::default())).collect();
+        let sources = seeds.iter().map(|s| (*s, Source::default())).collect();
         Sources {
             seeds,
-            rows,
+            sources,
             next: first,
             salt: first as u64,
         }
     }
 
-    /// Time until the next ask.
-    pub fn gap(&self) -> Duration {
-        let count = u32::try_from(self.rows.len().max(1)).unwrap_or(u32::MAX);
-        (ROUND / count).max(LEAST_GAP)
+    /// Time until the next poll.
+    pub fn poll_interval(&self) -> Duration {
+        let count = u32::try_from(self.sources.len().max(1)).unwrap_or(u32::MAX);
+        (POLL_PERIOD / count).max(MIN_INTERVAL)
     }
 
-    /// The one whose turn it is. One that is to tell of backend servers from now on goes first: until it is
-    /// asked, what it knows is not told.
-    pub fn turn(&mut self) -> Option<SocketAddr> {
-        let subscribed = |a: &SocketAddr| self.rows.get(a).is_some_and(|s| s.subscribed);
+    /// The coordinator to poll next. One that is newly subscribed to goes first: until it is
+    /// polled, its registrations are not sent.
+    pub fn next_poll(&mut self) -> Option<SocketAddr> {
+        let subscribed = |a: &SocketAddr| self.sources.get(a).is_some_and(|s| s.subscribed);
         if let Some(new) = self.subscriptions().into_iter().find(|a| !subscribed(a)) {
             return Some(new);
         }
-        let count = self.rows.len().max(1);
+        let count = self.sources.len().max(1);
         let at = self.next % count;
         self.next = (at + 1) % count;
-        self.rows.get_index(at).map(|(inbox, _)| *inbox)
+        self.sources.get_index(at).map(|(inbox, _)| *inbox)
     }
 
-    /// All of them, for what cannot wait for their turn.
+    /// All coordinators, for messages that cannot wait for the next poll.
     pub fn all(&self) -> Vec<SocketAddr> {
-        self.rows.keys().copied().collect()
+        self.sources.keys().copied().collect()
     }
 
-    /// Those that tell of backend servers: of those that answer, the same ones as long as these do.
+    /// Coordinators that send registrations of backend servers: of those that answer, the same ones
+    /// as long as they do.
     pub fn subscriptions(&self) -> Vec<SocketAddr> {
-        let answer = |(_, s): &(&SocketAddr, &Source)| s.unanswered < SILENT_ASKS;
-        let heard = self.rows.iter().filter(answer);
-        let mut heard: Vec<SocketAddr> = heard.map(|(a, _)| *a).collect();
-        heard.sort_by_cached_key(|a| (place(self.salt, a), *a));
-        heard.truncate(SUBSCRIPTIONS);
-        heard
+        let answers = |(_, s): &(&SocketAddr, &Source)| s.unanswered < MAX_UNANSWERED;
+        let answering = self.sources.iter().filter(answers);
+        let mut answering: Vec<SocketAddr> = answering.map(|(a, _)| *a).collect();
+        answering.sort_by_cached_key(|a| (rendezvous_rank(self.salt, a), *a));
+        answering.truncate(SUBSCRIPTIONS);
+        answering
     }
 
-    /// One is asked now; what the ask says.
-    pub fn asked(&mut self, inbox: SocketAddr) -> Position {
+    /// Records a poll of a coordinator; returns what the poll says.
+    pub fn on_poll(&mut self, inbox: SocketAddr) -> PollState {
         let subscriptions = self.subscriptions();
-        let brief = subscriptions.len() == SUBSCRIPTIONS && !subscriptions.contains(&inbox);
-        let source = self.rows.entry(inbox).or_default();
-        source.subscribed = !brief;
+        let omit_registrations =
+            subscriptions.len() == SUBSCRIPTIONS && !subscriptions.contains(&inbox);
+        let source = self.sources.entry(inbox).or_default();
+        source.subscribed = !omit_registrations;
         let before = source.unanswered;
         source.unanswered += 1;
-        let unheard = before >= SILENT_ASKS;
-        Position {
+        let unanswered = before >= MAX_UNANSWERED;
+        PollState {
             incarnation: source.incarnation,
-            mark: source.mark,
-            cases: source.cases,
-            unheard,
-            reopen: unheard && before.is_multiple_of(SILENT_ASKS),
-            lost: before == SILENT_ASKS,
-            brief,
+            cursor: source.cursor,
+            case_cursor: source.case_cursor,
+            unanswered,
+            reopen: unanswered && before.is_multiple_of(MAX_UNANSWERED),
+            lost: before == MAX_UNANSWERED,
+            omit_registrations,
         }
     }
 
-    /// One told something. Marks are of one start, and of what follows without a gap.
-    pub fn heard(&mut self, inbox: SocketAddr, telling: Telling) -> Heard {
-        let source = self.rows.entry(inbox).or_default();
-        let regained = source.unanswered > SILENT_ASKS;
+    /// Records an update of a coordinator. Cursors belong to one incarnation, and to changes
+    /// without a gap.
+    pub fn on_update(&mut self, inbox: SocketAddr, range: UpdateRange) -> Receipt {
+        let source = self.sources.entry(inbox).or_default();
+        let regained = source.unanswered > MAX_UNANSWERED;
         source.unanswered = 0;
-        if telling.mark == 0 {
-            return Heard {
+        if range.cursor == 0 {
+            return Receipt {
                 regained,
                 gap: false,
             };
         }
-        if source.incarnation != telling.incarnation {
-            // Another start counts its changes anew.
-            source.incarnation = telling.incarnation;
-            source.mark = 0;
-            source.cases = 0;
+        if source.incarnation != range.incarnation {
+            // Another incarnation counts its changes from the start.
+            source.incarnation = range.incarnation;
+            source.cursor = 0;
+            source.case_cursor = 0;
         }
-        let gap = telling.after > source.mark;
+        let gap = range.after > source.cursor;
         if !gap {
-            source.mark = source.mark.max(telling.mark);
+            source.cursor = source.cursor.max(range.cursor);
         }
-        Heard { regained, gap }
+        Receipt { regained, gap }
     }
 
-    /// One told its cases up to a change; 0 where it pushed a few.
-    pub fn told_cases(&mut self, inbox: SocketAddr, cases: u64) {
-        if let Some(source) = self.rows.get_mut(&inbox).filter(|_| cases > 0) {
-            source.cases = cases;
+    /// Records that a coordinator sent its cases up to a change; 0 if it pushed only a few.
+    pub fn set_case_cursor(&mut self, inbox: SocketAddr, case_cursor: u64) {
+        if let Some(source) = self.sources.get_mut(&inbox).filter(|_| case_cursor > 0) {
+            source.case_cursor = case_cursor;
         }
     }
 
-    /// Coordinators that are no longer named and silent are asked no more, seeds excepted.
-    pub fn follow(&mut self, named: &[SocketAddr]) {
+    /// Sets the member coordinators. Silent ones that are no longer members are no longer polled,
+    /// except seeds.
+    pub fn set_members(&mut self, members: &[SocketAddr]) {
         let seeds = &self.seeds;
-        let silent = |s: &Source| s.unanswered > FORGOTTEN;
-        self.rows
-            .retain(|a, s| named.contains(a) || seeds.contains(a) || !silent(s));
-        for inbox in named {
-            self.rows.entry(*inbox).or_default();
+        let silent = |s: &Source| s.unanswered > EVICT_UNANSWERED;
+        self.sources
+            .retain(|a, s| members.contains(a) || seeds.contains(a) || !silent(s));
+        for inbox in members {
+            self.sources.entry(*inbox).or_default();
         }
     }
 }
 
-/// Place of a coordinator in an order that each salt makes another one.
-fn place(salt: u64, coordinator: &SocketAddr) -> u64 {
+/// Position of a coordinator in an order that differs by salt.
+fn rendezvous_rank(salt: u64, coordinator: &SocketAddr) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(salt, 0);
     coordinator.hash(&mut hasher);
     hasher.finish()
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -18,21 +18,21 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Messages that wait for the gateway's thread.
-const RING: usize = 4096;
-/// A connection that stays idle for longer is closed. Documents allow callers some tens
-/// of seconds (15 by default); a request that crosses a close would have to be repeated.
-const IDLE: Duration = Duration::from_secs(90);
-/// Callers keep an answer of the directory for two seconds and learn of the stop with
-/// the next one; no process ends before that.
-const SHORTEST_STOP: Duration = Duration::from_millis(3_000);
-/// Part of the grace for which new requests are taken in. A stream takes some seconds;
-/// one that began later would be cut at the end of the grace.
-const TAKING: f64 = 0.33;
-/// Kept of the grace for the end itself.
-const RESERVE: Duration = Duration::from_millis(400);
-/// Between two looks whether all requests have ended.
-const LOOK: Duration = Duration::from_millis(50);
+/// Capacity of the queues of messages for the gateway's thread.
+const QUEUE_CAPACITY: usize = 4096;
+/// A connection that is idle for longer is closed. Documents allow callers some tens of seconds (15
+/// by default); a request that crosses a close would have to be repeated.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(90);
+/// Callers cache a directory response for two seconds and learn of the stop from the next one; no
+/// process exits before that.
+const MIN_STOP_TIME: Duration = Duration::from_millis(3_000);
+/// Fraction of the grace period during which new requests are accepted. A stream takes some
+/// seconds; one that started later would be cut at the end of the grace period.
+const ACCEPT_FRACTION: f64 = 0.33;
+/// Part of the grace period reserved for the exit itself.
+const STOP_RESERVE: Duration = Duration::from_millis(400);
+/// Interval between checks whether all requests have finished.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A running gateway.
 pub struct Handle {
@@ -41,19 +41,19 @@
 }
 
 impl Handle {
-    /// What begins a graceful stop: no new callers are sent here, those that come are
-    /// served, and the process ends with the last request.
+    /// Returns a function that starts a graceful stop: no new callers are sent here, those that
+    /// arrive are served, and the process exits after the last request.
     pub fn stopper(&self) -> impl Fn() + Send + Sync + 'static {
         let shared = self.shared.clone();
         move || {
             shared
                 .lines
-                .put("stopping", json!({ "in_flight": shared.open() }));
+                .put("stopping", json!({ "in_flight": shared.in_flight() }));
             shared.closing.send_replace(true);
         }
     }
 
-    /// Waits for the end.
+    /// Waits until the gateway has stopped.
     pub fn wait(self) -> Result<()> {
         self.thread.join().unwrap_or(Ok(()))
     }
@@ -66,16 +66,16 @@
         slack: conf.retry_slack,
         window: conf.retry_window,
     };
-    let (reports, reported) = mpsc::channel(RING);
+    let (reports, report_queue) = mpsc::channel(QUEUE_CAPACITY);
     let shared = Shared::new(&settings.domain, allowance, lines, reports);
-    let (sink, inbox) = mpsc::channel(RING);
-    let put = move |envelope| sink.try_send(envelope).is_ok();
+    let (sender, inbox) = mpsc::channel(QUEUE_CAPACITY);
+    let deliver = move |envelope| sender.try_send(envelope).is_ok();
     let net = Net::begin(
         Role::Gateway,
         &settings.id,
         settings.inbox,
         settings.listen,
-        put,
+        deliver,
     )?;
     let port = settings.inbox.port();
     let seeds = conf.seeds.iter().map(|s| SocketAddr::new(s.ip(), port));
@@ -94,16 +94,16 @@
         .build()
         .context(RuntimeSnafu)?;
     let grace = conf.grace;
-    let running = shared.clone();
+    let serving = shared.clone();
     let thread = std::thread::spawn(move || {
         runtime.block_on(async move {
-            tokio::spawn(link.run(inbox, reported));
-            tokio::spawn(serve_pages(running.clone(), ready, frontend::readiness));
+            tokio::spawn(link.run(inbox, report_queue));
+            tokio::spawn(serve_pages(serving.clone(), ready, frontend::readiness));
             if let Some(directory) = directory {
-                tokio::spawn(serve_pages(running.clone(), directory, frontend::directory));
+                tokio::spawn(serve_pages(serving.clone(), directory, frontend::directory));
             }
-            let accepting = tokio::spawn(serve_callers(running.clone(), callers));
-            until_stopped(&running, grace, || accepting.abort()).await;
+            let accepting = tokio::spawn(serve_callers(serving.clone(), callers));
+            until_stopped(&serving, grace, || accepting.abort()).await;
         });
         Ok(())
     });
@@ -115,18 +115,18 @@
 }
 
 async fn serve_callers(shared: Shared, listener: TcpListener) {
-    let bounds = Bounds {
-        header_time: IDLE,
+    let limits = Bounds {
+        header_time: IDLE_TIMEOUT,
         ..Bounds::default()
     };
     let closing = shared.closing.subscribe();
     let handle = move |request| frontend::answer(shared.clone(), request);
-    if let Err(e) = bn_serve::accept(listener, None, bounds, closing, handle).await {
-        log::error!("callers: {e}");
+    if let Err(e) = bn_serve::accept(listener, None, limits, closing, handle).await {
+        log::error!("cannot accept connections of callers: {e}");
     }
 }
 
-/// Serves what is answered at once from what is known.
+/// Serves requests that are answered at once from known state.
 async fn serve_pages(
     shared: Shared,
     listener: TcpListener,
@@ -138,33 +138,33 @@
         async move { response }
     };
     if let Err(e) = bn_serve::accept(listener, None, Bounds::default(), closing, handle).await {
-        log::error!("readiness or directory: {e}");
+        log::error!("cannot accept connections for readiness or directory requests: {e}");
     }
 }
 
-/// Returns once a stop was asked for and the last request has ended, or the grace is
-/// nearly over. `stop_taking` closes the callers' listener.
-async fn until_stopped(shared: &Shared, grace: Duration, stop_taking: impl Fn()) {
+/// Returns once a stop was requested and the last request has finished, or the grace period is
+/// nearly over. `stop_accepting` closes the callers' listener.
+async fn until_stopped(shared: &Shared, grace: Duration, stop_accepting: impl Fn()) {
     let mut closing = shared.closing.subscribe();
     if closing.wait_for(|c| *c).await.is_err() {
         return;
     }
-    let began = shared.now();
-    let forced = began + grace.saturating_sub(RESERVE);
-    let earliest = (began + SHORTEST_STOP).min(forced);
-    let taking = began + grace.mul_f64(TAKING);
+    let started_at = shared.now();
+    let latest = started_at + grace.saturating_sub(STOP_RESERVE);
+    let earliest = (started_at + MIN_STOP_TIME).min(latest);
+    let accept_until = started_at + grace.mul_f64(ACCEPT_FRACTION);
     loop {
         let now = shared.now();
-        if now >= taking && !shared.is_shut() {
-            shared.shut();
-            stop_taking();
+        if now >= accept_until && !shared.has_stopped_accepting() {
+            shared.stop_accepting();
+            stop_accepting();
         }
-        if now >= forced || (now >= earliest && shared.open() == 0) {
+        if now >= latest || (now >= earliest && shared.in_flight() == 0) {
             break;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     shared
         .lines
-        .put("stopped", json!({ "in_flight": shared.open() }));
+        .put("stopped", json!({ "in_flight": shared.in_flight() }));
 }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -1,14 +1,14 @@
-//! Streamed answers: whole events go on as they come. Where a stream breaks off and may
-//! be resumed, another backend server goes on after the last whole event, within the
-//! same answer; else the caller's connection breaks, so that the end never looks whole.
+//! Streamed responses: complete events are forwarded as they arrive. If a stream breaks off and may
+//! be resumed, another backend server continues after the last complete event, within the same
+//! response; otherwise the caller's connection is aborted, so that the end never looks complete.
 
 use crate::answer::Refusal;
 use crate::attempt::Head;
-use crate::context::{Ticket, strip_hop};
-use crate::dispatch::{self, Tries};
-use crate::events::{LARGEST_EVENT, Splitter};
+use crate::context::{RequestContext, strip_hop_by_hop};
+use crate::dispatch::{self, Attempts};
+use crate::events::{MAX_EVENT_BYTES, Splitter};
 use crate::plain;
-use crate::shared::{Flight, Shared};
+use crate::shared::{InFlightGuard, Shared};
 use crate::suspects::{self, Run};
 use bn_platform::header;
 use bn_route::Server;
@@ -27,31 +27,31 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Events that wait for a slow caller; then the backend server is read no further.
-const RING: usize = 16;
+/// Events buffered for a slow caller; beyond that, no more is read from the backend server.
+const QUEUE_CAPACITY: usize = 16;
 
-type Piece = Result<Frame<Bytes>, io::Error>;
+type FrameResult = Result<Frame<Bytes>, io::Error>;
 
-/// Serves a request whose answer is a stream.
+/// Serves a request whose response is a stream.
 pub(crate) async fn serve(
     shared: &Shared,
-    ticket: &Ticket,
-    mut tries: Tries,
-    flight: Flight,
+    ctx: &RequestContext,
+    mut attempts: Attempts,
+    in_flight: InFlightGuard,
 ) -> Result<Response<Body>, Refusal> {
-    let offered = dispatch::offer(shared, ticket, &mut tries, None);
-    let head = match tokio::time::timeout(ticket.left(shared.now()), offered).await {
+    let dispatched = dispatch::dispatch(shared, ctx, &mut attempts, None);
+    let head = match tokio::time::timeout(ctx.remaining(shared.now()), dispatched).await {
         Ok(head) => head?,
-        Err(_) => return Err(tries.timed_out()),
+        Err(_) => return Err(attempts.timed_out()),
     };
     if !is_stream(&head) {
-        let run = Run::at(&head.seat.server);
+        let run = Run::at(&head.reservation.server);
         let collected = plain::collect(shared, head);
-        let whole = tokio::time::timeout(ticket.left(shared.now()), collected).await;
-        let whole = whole.map_err(|_| tries.timed_out())?;
-        return whole.map(plain::response).map_err(|flaw| {
-            if flaw == plain::Flaw::Broke {
-                suspects::lost(shared, ticket, &tries, &run, false);
+        let answer = tokio::time::timeout(ctx.remaining(shared.now()), collected).await;
+        let answer = answer.map_err(|_| attempts.timed_out())?;
+        return answer.map(plain::response).map_err(|error| {
+            if error == plain::CollectError::Incomplete {
+                suspects::on_run_lost(shared, ctx, &attempts, &run, false);
             }
             Refusal::unknown(502, "the answer broke off")
         });
@@ -61,21 +61,21 @@
     shared
         .state()
         .fleet
-        .record_success(now, &source.seat.server.id);
-    let (pieces, taken) = mpsc::channel(RING);
-    let pump = Pump {
+        .record_success(now, &source.reservation.server.id);
+    let (frames, receiver) = mpsc::channel(QUEUE_CAPACITY);
+    let forwarder = EventForwarder {
         shared: shared.clone(),
-        ticket: ticket.clone(),
-        tries,
+        ctx: ctx.clone(),
+        attempts,
         splitter: Splitter::default(),
         timing: Timing::default(),
-        pieces,
+        frames,
     };
     tokio::spawn(async move {
-        let _flight = flight;
-        pump.run(body, source).await;
+        let _in_flight = in_flight;
+        forwarder.run(body, source).await;
     });
-    Ok(response(parts, taken))
+    Ok(response(parts, receiver))
 }
 
 fn is_stream(head: &Head) -> bool {
@@ -87,66 +87,66 @@
 }
 
 /// Where a stream's body comes from: held for as long as it is read.
-struct Source {
+struct StreamSource {
     connection: bn_serve::client::Connection,
-    seat: crate::attempt::Seat,
-    limit: Option<Duration>,
+    reservation: crate::attempt::SlotReservation,
+    idle_timeout: Option<Duration>,
 }
 
-fn split(head: Head) -> (Parts, Incoming, Source) {
+fn split(head: Head) -> (Parts, Incoming, StreamSource) {
     let (parts, body) = head.response.into_parts();
-    let limit = crate::attempt::idle_limit(&parts.headers);
-    let source = Source {
+    let idle_timeout = crate::attempt::keep_alive_timeout(&parts.headers);
+    let source = StreamSource {
         connection: head.connection,
-        seat: head.seat,
-        limit,
+        reservation: head.reservation,
+        idle_timeout,
     };
     (parts, body, source)
 }
 
-fn response(mut parts: Parts, taken: mpsc::Receiver<Piece>) -> Response<Body> {
-    strip_hop(&mut parts.headers);
+fn response(mut parts: Parts, receiver: mpsc::Receiver<FrameResult>) -> Response<Body> {
+    strip_hop_by_hop(&mut parts.headers);
     parts.headers.remove("content-length");
     parts.headers.remove(header::LOAD);
-    let body = StreamBody::new(Pieces(taken));
+    let body = StreamBody::new(FrameStream(receiver));
     Response::from_parts(parts, BodyExt::boxed(body))
 }
 
-/// The ring's other end, as a body.
-struct Pieces(mpsc::Receiver<Piece>);
+/// The receiving end of the channel, as a body.
+struct FrameStream(mpsc::Receiver<FrameResult>);
 
-impl futures_core::Stream for Pieces {
-    type Item = Piece;
+impl futures_core::Stream for FrameStream {
+    type Item = FrameResult;
 
-    fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Piece>> {
+    fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<FrameResult>> {
         self.0.poll_recv(cx)
     }
 }
 
 /// How reading one backend server's part of a stream ended.
-enum End {
+enum ReadEnd {
     /// The stream is complete.
-    Whole,
-    /// The caller left.
-    Left,
-    /// Deadline or timeout.
-    Late,
-    /// The backend server broke off.
+    Complete,
+    /// The caller disconnected.
+    CallerLeft,
+    /// The deadline or timeout was reached.
+    TimedOut,
+    /// The stream from the backend server broke off.
     Broken(&'static str),
 }
 
-/// When events went on to the caller.
+/// When events were forwarded to the caller.
 #[derive(Default)]
 struct Timing {
-    /// The first event, after the request arrived here.
+    /// Time from the request's arrival here to the first event.
     first: Option<Duration>,
     last: Option<Duration>,
     longest: Duration,
 }
 
 impl Timing {
-    /// Events came; returns how long after those before.
-    fn event(&mut self, now: Duration, arrived: Duration) -> Option<Duration> {
+    /// Records that events arrived; returns the time since the previous ones.
+    fn record_event(&mut self, now: Duration, arrived: Duration) -> Option<Duration> {
         self.first.get_or_insert(now - arrived);
         let pause = self.last.replace(now).map(|before| now - before);
         self.longest = self.longest.max(pause.unwrap_or_default());
@@ -159,143 +159,151 @@
     }
 }
 
-/// Moves events from backend servers to the caller.
-struct Pump {
+/// Forwards events from backend servers to the caller.
+struct EventForwarder {
     shared: Shared,
-    ticket: Ticket,
-    tries: Tries,
+    ctx: RequestContext,
+    attempts: Attempts,
     splitter: Splitter,
     timing: Timing,
-    pieces: mpsc::Sender<Piece>,
+    frames: mpsc::Sender<FrameResult>,
 }
 
-impl Pump {
-    async fn run(mut self, body: Incoming, source: Source) {
+impl EventForwarder {
+    async fn run(mut self, body: Incoming, source: StreamSource) {
         let (mut body, mut source) = (body, source);
         loop {
-            let run = Run::at(&source.seat.server);
-            let id = source.seat.server.id.clone();
-            match self.read(&mut body, &source.seat.server).await {
-                End::Whole => {
+            let run = Run::at(&source.reservation.server);
+            let id = source.reservation.server.id.clone();
+            match self.read(&mut body, &source.reservation.server).await {
+                ReadEnd::Complete => {
                     let shared = &self.shared;
                     let now = shared.now();
-                    shared.pool.keep(now, source.connection, source.limit);
+                    shared
+                        .pool
+                        .keep(now, source.connection, source.idle_timeout);
                     shared.state().fleet.record_success(now, &id);
-                    suspects::whole(shared, &self.ticket);
-                    return self.note("stream_whole", &id, "");
+                    suspects::on_complete(shared, &self.ctx);
+                    return self.log_event("stream_whole", &id, "");
                 }
-                End::Left => {
-                    self.lost(&run, true);
-                    return self.note("caller_left", &id, "");
+                ReadEnd::CallerLeft => {
+                    self.on_run_lost(&run, true);
+                    return self.log_event("caller_left", &id, "");
                 }
-                End::Late => {
-                    self.lost(&run, true);
-                    self.note("stream_cut", &id, "deadline or timeout");
-                    return self.cut().await;
+                ReadEnd::TimedOut => {
+                    self.on_run_lost(&run, true);
+                    self.log_event("stream_cut", &id, "deadline or timeout");
+                    return self.abort().await;
                 }
-                End::Broken(why) => {
+                ReadEnd::Broken(why) => {
                     drop(source);
                     drop(body);
-                    self.lost(&run, false);
-                    self.note("stream_broken", &id, why);
-                    dispatch::fail(&self.shared, &id, false);
+                    self.on_run_lost(&run, false);
+                    self.log_event("stream_broken", &id, why);
+                    dispatch::record_failure(&self.shared, &id, false);
                     match self.resume().await {
                         Some(next) => (body, source) = next,
-                        None => return self.cut().await,
+                        None => return self.abort().await,
                     }
                 }
             }
         }
     }
 
-    fn lost(&self, run: &Run, given_up: bool) {
-        suspects::lost(&self.shared, &self.ticket, &self.tries, run, given_up);
+    fn on_run_lost(&self, run: &Run, abandoned: bool) {
+        suspects::on_run_lost(&self.shared, &self.ctx, &self.attempts, run, abandoned);
     }
 
-    async fn read(&mut self, body: &mut Incoming, server: &Server) -> End {
-        let until = self.ticket.left(self.shared.now());
-        let late = tokio::time::sleep(until);
-        let mut late = std::pin::pin!(late);
+    async fn read(&mut self, body: &mut Incoming, server: &Server) -> ReadEnd {
+        let remaining = self.ctx.remaining(self.shared.now());
+        let timeout = tokio::time::sleep(remaining);
+        let mut timeout = std::pin::pin!(timeout);
         loop {
             let frame = tokio::select! {
                 frame = body.frame() => frame,
-                () = self.pieces.closed() => return End::Left,
-                () = late.as_mut() => return End::Late,
+                () = self.frames.closed() => return ReadEnd::CallerLeft,
+                () = timeout.as_mut() => return ReadEnd::TimedOut,
             };
             let data = match frame {
-                None if self.splitter.pending() > 0 => return End::Broken("ended within an event"),
-                None => return End::Whole,
-                Some(Err(_)) => return End::Broken("connection broke"),
+                None if self.splitter.pending() > 0 => {
+                    return ReadEnd::Broken("ended within an event");
+                }
+                None => return ReadEnd::Complete,
+                Some(Err(_)) => return ReadEnd::Broken("connection broke"),
                 Some(Ok(frame)) => frame.into_data(),
             };
             let Some(events) = data.ok().and_then(|d| self.splitter.push(&d)) else {
-                if self.splitter.pending() > LARGEST_EVENT {
-                    return End::Broken("an event without end");
+                if self.splitter.pending() > MAX_EVENT_BYTES {
+                    return ReadEnd::Broken("an event without end");
                 }
                 continue;
             };
             let now = self.shared.now();
-            if let Some(pause) = self.timing.event(now, self.ticket.arrived) {
-                let limit = self.ticket.route.pause;
-                self.shared.saw_pause(server, pause, limit);
+            if let Some(pause) = self.timing.record_event(now, self.ctx.arrived) {
+                let max_pause = self.ctx.route.pause;
+                self.shared.record_pause(server, pause, max_pause);
             }
             let sent = tokio::select! {
-                sent = self.pieces.send(Ok(Frame::data(events))) => sent,
-                () = late.as_mut() => return End::Late,
+                sent = self.frames.send(Ok(Frame::data(events))) => sent,
+                () = timeout.as_mut() => return ReadEnd::TimedOut,
             };
             if sent.is_err() {
-                return End::Left;
+                return ReadEnd::CallerLeft;
             }
         }
     }
 
-    /// Goes on at another backend server after the last whole event.
-    async fn resume(&mut self) -> Option<(Incoming, Source)> {
-        self.splitter.drop_part();
-        if !dispatch::again(&self.shared, &self.ticket, &self.tries) {
+    /// Resumes at another backend server after the last complete event.
+    async fn resume(&mut self) -> Option<(Incoming, StreamSource)> {
+        self.splitter.discard_partial();
+        if !dispatch::take_retry(&self.shared, &self.ctx, &self.attempts) {
             return None;
         }
         let from = self.splitter.last_id().map(str::to_string);
-        let left = self.ticket.left(self.shared.now());
-        let offered = dispatch::offer(&self.shared, &self.ticket, &mut self.tries, from.as_deref());
+        let remaining = self.ctx.remaining(self.shared.now());
+        let dispatched =
+            dispatch::dispatch(&self.shared, &self.ctx, &mut self.attempts, from.as_deref());
         let head = tokio::select! {
-            head = tokio::time::timeout(left, offered) => head.ok()?.ok()?,
-            () = self.pieces.closed() => return None,
+            head = tokio::time::timeout(remaining, dispatched) => head.ok()?.ok()?,
+            () = self.frames.closed() => return None,
         };
         if !is_stream(&head) {
             return None;
         }
         let (_, body, source) = split(*head);
-        let id = source.seat.server.id.clone();
-        self.note("stream_resumed", &id, from.as_deref().unwrap_or("start"));
+        let id = source.reservation.server.id.clone();
+        self.log_event("stream_resumed", &id, from.as_deref().unwrap_or("start"));
         Some((body, source))
     }
 
-    /// Breaks the caller's connection: without the end of the framing the answer cannot
-    /// be taken for whole.
-    async fn cut(self) {
-        let broken = io::Error::new(io::ErrorKind::ConnectionAborted, "the stream broke off");
-        if self.pieces.send(Err(broken)).await.is_err() {
-            log::debug!("{}: the caller left before the cut", self.ticket.id);
+    /// Aborts the caller's connection: without the end of the framing, the response cannot be
+    /// mistaken for a complete one.
+    async fn abort(self) {
+        let error = io::Error::new(io::ErrorKind::ConnectionAborted, "the stream broke off");
+        if self.frames.send(Err(error)).await.is_err() {
+            log::debug!(
+                "{}: the caller left before its connection was aborted",
+                self.ctx.id
+            );
         }
     }
 
-    fn note(&self, event: &str, server: &str, why: &str) {
-        let in_time = self.timing.in_time(&self.ticket.route);
-        if event == "stream_whole" && in_time && !crate::frontend::sampled() {
+    fn log_event(&self, event: &str, server: &str, why: &str) {
+        let in_time = self.timing.in_time(&self.ctx.route);
+        if event == "stream_whole" && in_time && !crate::frontend::is_sampled() {
             return;
         }
         let millis = |d: Duration| d.as_millis() as u64;
         self.shared.lines.put(
             event,
             json!({
-                "request": self.ticket.id, "server": server, "why": why,
+                "request": self.ctx.id, "server": server, "why": why,
                 "last_event": self.splitter.last_id(), "in_time": in_time,
-                "after_ms": millis(self.shared.now() - self.ticket.arrived),
+                "after_ms": millis(self.shared.now() - self.ctx.arrived),
                 "first_ms": self.timing.first.map(millis),
                 "longest_pause_ms": millis(self.timing.longest),
-                "came_back": self.ticket.came_back, "deadline_ms": millis(self.ticket.deadline),
-                "digest": bn_quarantine::to_text(self.ticket.digest()),
+                "came_back": self.ctx.is_retry, "deadline_ms": millis(self.ctx.deadline),
+                "digest": bn_quarantine::to_text(self.ctx.digest()),
             }),
         );
     }
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -1,9 +1,9 @@
-//! Requests that end backend servers, as this gateway meets them: what it tells the coordinators of
-//! runs that were lost, and whether a request may be sent.
+//! Requests that terminate backend servers, at this gateway: what it reports to the coordinators
+//! about lost runs, and whether a request may be sent.
 
 use crate::answer::Refusal;
-use crate::context::Ticket;
-use crate::dispatch::Tries;
+use crate::context::RequestContext;
+use crate::dispatch::Attempts;
 use crate::placement;
 use crate::shared::{Inner, Shared};
 use bn_quarantine::{CaseStatus, Digest, LostRun, NextStep, Start, Termination, to_text};
@@ -14,26 +14,27 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// How long a suspect waits for the word that it may be tried. The leader answers in a few
-/// milliseconds; where none does it is being elected, which takes half a second and more.
-const WORD: Duration = Duration::from_millis(300);
-/// How long a connection must stand before its other end counts as alive: far longer than a process takes
-/// to close its sockets, far shorter than a caller takes to come back.
-const STAYS: Duration = Duration::from_millis(100);
-/// Why a request is sent no more.
-pub(crate) const ENDS_SERVERS: &str = "backend servers ended under this request";
-/// Why a suspect waits.
-const TRIED: &str = "backend servers ended under this request, and it is being tried elsewhere";
-
-/// What the link tells the coordinators.
+/// How long a suspect waits for permission to be tried. The leader answers in a few milliseconds;
+/// if none does, one is being elected, which takes half a second and more.
+const TRIAL_TIMEOUT: Duration = Duration::from_millis(300);
+/// How long a connection must stay open before its peer counts as alive: far longer than a process
+/// takes to close its sockets, far shorter than a caller takes to retry.
+const PROBE_SETTLE_TIME: Duration = Duration::from_millis(100);
+/// Why a request is not sent any more.
+pub(crate) const QUARANTINED: &str = "backend servers ended under this request";
+/// Why a suspect has to wait.
+const TRIAL_ELSEWHERE: &str =
+    "backend servers ended under this request, and it is being tried elsewhere";
+
+/// What the link reports to the coordinators.
 #[derive(Debug)]
 pub(crate) enum Report {
-    /// A backend server ended.
-    End(Termination),
-    /// May this request be tried now, for so long?
-    Ask(Digest, Duration, oneshot::Sender<bool>),
-    /// A run of a suspect is over, with a whole answer or without.
-    Done(Digest, bool),
+    /// A backend server terminated.
+    Terminated(Termination),
+    /// Asks whether this request may be tried now, for this long.
+    TrialRequest(Digest, Duration, oneshot::Sender<bool>),
+    /// A run of a suspect is over, with or without a complete response.
+    RunFinished(Digest, bool),
 }
 
 /// One run of a request at a backend server.
@@ -56,7 +57,7 @@
     }
 }
 
-/// The only try of a suspect in the fleet. Its end is told when it is dropped.
+/// The only attempt of a suspect in the fleet. Its end is reported on drop.
 pub(crate) struct Trial {
     shared: Shared,
     digest: Digest,
@@ -64,151 +65,171 @@
 
 impl Drop for Trial {
     fn drop(&mut self) {
-        self.shared.report(Report::Done(self.digest, false));
+        self.shared.report(Report::RunFinished(self.digest, false));
     }
 }
 
 impl Inner {
-    /// Hands a report to the link. One that is lost costs a backend server more: the next end tells
-    /// the same.
+    /// Passes a report to the link. A lost report costs one more backend server: the next
+    /// termination reports the same.
     pub(crate) fn report(&self, report: Report) {
         if self.reports.try_send(report).is_err() {
             metrics::counter!("ring_lost_total").increment(1);
         }
     }
 
-    fn standing(&self, ticket: &Ticket) -> CaseStatus {
+    fn case_status(&self, ctx: &RequestContext) -> CaseStatus {
         let state = self.state();
-        // Without cases no digest is worked out.
+        // Without cases, no digest is computed.
         match state.cases.is_empty() {
             true => CaseStatus::Free,
-            false => state.cases.status(ticket.digest()),
+            false => state.cases.status(ctx.digest()),
         }
     }
 }
 
-/// Refuses what is known to end backend servers, before it waits for a place.
-pub(crate) fn refuse_known(shared: &Shared, ticket: &Ticket) -> Result<(), Refusal> {
-    match shared.standing(ticket) {
-        CaseStatus::Refused => Err(known(shared, ticket)),
+/// Refuses a request that is known to terminate backend servers, before it waits for a slot.
+pub(crate) fn refuse_quarantined(shared: &Shared, ctx: &RequestContext) -> Result<(), Refusal> {
+    match shared.case_status(ctx) {
+        CaseStatus::Refused => Err(quarantined(shared, ctx)),
         _ => Ok(()),
     }
 }
 
-/// Not run this time, and no word on when to come back: nothing says that it would help.
-fn known(shared: &Shared, ticket: &Ticket) -> Refusal {
-    let digest = to_text(ticket.digest());
-    let fields = json!({ "request": ticket.id, "digest": digest });
+/// Not run this time, and without a time to retry: nothing says that a retry would help.
+fn quarantined(shared: &Shared, ctx: &RequestContext) -> Refusal {
+    let digest = to_text(ctx.digest());
+    let fields = json!({ "request": ctx.id, "digest": digest });
     shared.lines.put("quarantined", fields);
     metrics::counter!("requests_quarantined_total").increment(1);
-    Refusal::wrong(503, ENDS_SERVERS)
+    Refusal::not_retryable(503, QUARANTINED)
 }
 
-/// Whether the request may be sent now, with a place taken. A suspect needs the leader's word, and
-/// is the only one of its kind in the fleet until its run is over.
+/// Whether the request may be sent now, with a slot reserved. A suspect needs the leader's
+/// permission, and is the only one with its digest in the fleet until its run is over.
 pub(crate) async fn admit(
     shared: &Shared,
-    ticket: &Ticket,
-    tries: &mut Tries,
+    ctx: &RequestContext,
+    attempts: &mut Attempts,
 ) -> Result<(), Refusal> {
-    match shared.standing(ticket) {
+    match shared.case_status(ctx) {
         CaseStatus::Free => return Ok(()),
-        CaseStatus::Refused => return Err(known(shared, ticket)),
-        CaseStatus::Suspect if tries.trial.is_some() => return Ok(()),
+        CaseStatus::Refused => return Err(quarantined(shared, ctx)),
+        CaseStatus::Suspect if attempts.trial.is_some() => return Ok(()),
         CaseStatus::Suspect => {}
     }
-    let digest = ticket.digest();
-    let (word, told) = oneshot::channel();
-    shared.report(Report::Ask(digest, ticket.left(shared.now()), word));
-    let granted = matches!(tokio::time::timeout(WORD, told).await, Ok(Ok(true)));
+    let digest = ctx.digest();
+    let (reply, granted_reply) = oneshot::channel();
+    shared.report(Report::TrialRequest(
+        digest,
+        ctx.remaining(shared.now()),
+        reply,
+    ));
+    let granted = matches!(
+        tokio::time::timeout(TRIAL_TIMEOUT, granted_reply).await,
+        Ok(Ok(true))
+    );
     shared.lines.put(
         "suspect_asked",
-        json!({ "request": ticket.id, "digest": to_text(digest), "granted": granted }),
+        json!({ "request": ctx.id, "digest": to_text(digest), "granted": granted }),
     );
     if !granted {
-        return Err(Refusal::later(TRIED, placement::back_after(shared, ticket)));
+        return Err(Refusal::retryable(
+            TRIAL_ELSEWHERE,
+            placement::retry_after_for(shared, ctx),
+        ));
     }
     metrics::counter!("suspects_tried_total").increment(1);
     let shared = shared.clone();
-    tries.trial = Some(Trial { shared, digest });
+    attempts.trial = Some(Trial { shared, digest });
     Ok(())
 }
 
-/// A request got a whole answer: it ends nobody.
-pub(crate) fn whole(shared: &Shared, ticket: &Ticket) {
-    let open = {
+/// A request got a complete response: it terminates no backend server.
+pub(crate) fn on_complete(shared: &Shared, ctx: &RequestContext) {
+    let is_open = {
         let state = shared.state();
-        !state.cases.is_empty() && state.cases.is_open(ticket.digest())
+        !state.cases.is_empty() && state.cases.is_open(ctx.digest())
     };
-    if open {
-        shared.report(Report::Done(ticket.digest(), true));
+    if is_open {
+        shared.report(Report::RunFinished(ctx.digest(), true));
     }
 }
 
-/// A run broke off, or was given up here. Connections break for many reasons, so somebody looks
-/// whether the backend server is still there.
-pub(crate) fn lost(shared: &Shared, ticket: &Ticket, tries: &Tries, run: &Run, given_up: bool) {
+/// A run broke off, or was abandoned here. Connections break for many reasons, so the backend
+/// server is probed to see whether it is still there.
+pub(crate) fn on_run_lost(
+    shared: &Shared,
+    ctx: &RequestContext,
+    attempts: &Attempts,
+    run: &Run,
+    abandoned: bool,
+) {
     let now = shared.now();
     let lost = LostRun {
-        digest: ticket.digest(),
-        sole_trial: tries.trial.is_some(),
-        abandoned: given_up,
+        digest: ctx.digest(),
+        sole_trial: attempts.trial.is_some(),
+        abandoned,
     };
     let next = {
         let mut state = shared.state();
-        // One that leaves, or is gone, ends with what it has: that is no request's doing.
-        let known = state.fleet.get(&run.start.id);
-        if known.is_none_or(|s| s.leaving || s.start_time != run.start.start_time) {
+        // A backend server that is leaving or gone terminates its runs itself: no request caused
+        // that.
+        let server = state.fleet.get(&run.start.id);
+        if server.is_none_or(|s| s.leaving || s.start_time != run.start.start_time) {
             return;
         }
-        state.watch.on_lost(now, &run.start, run.address, lost)
+        state
+            .loss_tracker
+            .on_lost(now, &run.start, run.address, lost)
     };
     match next {
         NextStep::Wait => {}
-        NextStep::Probe => look(shared.clone(), run.clone()),
-        NextStep::Report(end) => tell(shared, end, "refused"),
+        NextStep::Probe => probe(shared.clone(), run.clone()),
+        NextStep::Report(termination) => report_termination(shared, termination, "refused"),
     }
 }
 
-/// A connection to where a run was lost, once it has stood for a moment. A process that ends closes its
-/// sockets one after the other, and takes connections as long as its listener is open; these are reset
-/// with it. Taken for alive, one of three ends was missed (one run on a busy machine).
-async fn open_to_stay(address: SocketAddr) -> client::Result<Connection> {
+/// Opens a connection to where a run was lost, and checks it after a moment. A process that
+/// terminates closes its sockets one after the other and accepts connections as long as its
+/// listener is open; these are reset with it. When such a connection counted as alive, one of three
+/// terminations was missed (one run on a busy machine).
+async fn open_settled(address: SocketAddr) -> client::Result<Connection> {
     let connection = client::open(address).await?;
-    tokio::time::sleep(STAYS).await;
+    tokio::time::sleep(PROBE_SETTLE_TIME).await;
     match connection.sender.is_closed() {
         true => client::open(address).await,
         false => Ok(connection),
     }
 }
 
-/// Opens a connection, which serves the next request where the backend server lives.
-fn look(shared: Shared, run: Run) {
+/// Opens a connection, which serves the next request if the backend server is alive.
+fn probe(shared: Shared, run: Run) {
     tokio::spawn(async move {
-        let opened = open_to_stay(run.address).await;
+        let opened = open_settled(run.address).await;
         let now = shared.now();
         match opened {
             Ok(connection) => {
-                shared.state().watch.on_reachable(&run.start);
+                shared.state().loss_tracker.on_reachable(&run.start);
                 shared.pool.keep(now, connection, None);
             }
             Err(e) if e.nobody_listens() => {
-                let end = shared.state().watch.on_terminated(now, &run.start);
-                if let Some(end) = end {
-                    tell(&shared, end, "refused");
+                let termination = shared.state().loss_tracker.on_terminated(now, &run.start);
+                if let Some(termination) = termination {
+                    report_termination(&shared, termination, "refused");
                 }
-                fell(&shared, &run.start, "refused");
+                mark_terminated(&shared, &run.start, "refused");
             }
             Err(e) => {
-                log::debug!("{}: {e}", run.start.id);
-                shared.state().watch.on_inconclusive(&run.start);
+                log::debug!("probing {} failed: {e}", run.start.id);
+                shared.state().loss_tracker.on_inconclusive(&run.start);
             }
         }
     });
 }
 
-/// A backend server has ended: nothing is sent there, nor to its group until it runs again.
-pub(crate) fn fell(shared: &Shared, start: &Start, sign: &str) {
+/// A backend server has terminated: nothing is sent there, nor to its group until it runs again.
+pub(crate) fn mark_terminated(shared: &Shared, start: &Start, sign: &str) {
     let now = shared.now();
     let address = {
         let mut state = shared.state();
@@ -218,28 +239,29 @@
         {
             return;
         }
-        state.forget_pace_of(&start.id);
+        state.reset_fill_controller(&start.id);
         state.fleet.get(&start.id).map(|s| s.address)
     };
     if let Some(address) = address {
         shared.pool.forget(address);
     }
-    shared.room.notify_waiters();
+    shared.capacity_freed.notify_waiters();
     let fields = json!({ "id": start.id, "began": start.start_time, "sign": sign });
     shared.lines.put("backend_server_fell", fields);
 }
 
-/// Tells the coordinators that a backend server ended; `sign` is what shows it here.
-pub(crate) fn tell(shared: &Shared, end: Termination, sign: &str) {
-    let digests: Vec<String> = end.runs.iter().map(|(d, _)| to_text(*d)).collect();
-    let alone = end.runs.iter().any(|(_, alone)| *alone);
+/// Reports to the coordinators that a backend server terminated; `sign` is how it was detected
+/// here.
+pub(crate) fn report_termination(shared: &Shared, termination: Termination, sign: &str) {
+    let digests: Vec<String> = termination.runs.iter().map(|(d, _)| to_text(*d)).collect();
+    let sole_trial = termination.runs.iter().any(|(_, sole_trial)| *sole_trial);
     shared.lines.put(
         "backend_server_ended",
         json!({
-            "id": end.start.id, "began": end.start.start_time, "sign": sign, "digests": digests,
-            "alone": alone,
+            "id": termination.start.id, "began": termination.start.start_time, "sign": sign,
+            "digests": digests, "alone": sole_trial,
         }),
     );
     metrics::counter!("backend_server_ends_total").increment(1);
-    shared.report(Report::End(end));
+    shared.report(Report::Terminated(termination));
 }
