--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -114,7 +114,7 @@
         // The request was returned intact: no byte of it was written.
         Err(e) if e.message().is_some() => Outcome::NotSent("connection closed before sending"),
         Err(e) => {
-            log::debug!("sending to {} failed: {}", reservation.server.id, e.error());
+            log::debug!("request to {} failed: {}", reservation.server.id, e.error());
             Outcome::ConnectionLost
         }
     }
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -127,9 +127,10 @@
         }
     }
 
-    fn report_usage(&mut self, waiting: usize) {
+    fn report_usage(&mut self, inbox_length: usize) {
         let max_inbox = &mut self.max_inbox;
-        let queues = || json!({ "inbox": waiting, "inbox_longest": std::mem::take(max_inbox) });
+        let queues =
+            || json!({ "inbox": inbox_length, "inbox_longest": std::mem::take(max_inbox) });
         let now = self.shared.now();
         self.usage.note(now, &self.net, &self.shared.lines, queues);
     }
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -224,14 +224,14 @@
     started_at: Duration,
 ) -> Result<SlotReservation, Refusal> {
     let until = started_at + max_queue_time(ctx, started_at);
-    let waiting = QueuedRequest {
+    let request = QueuedRequest {
         id: rand::random(),
         account: ctx.account.clone().unwrap_or_default(),
         priority: queue_priority(ctx, started_at),
         share: 1,
         deadline: until,
     };
-    let entry = match QueueEntry::enqueue(shared, ctx, waiting) {
+    let entry = match QueueEntry::enqueue(shared, ctx, request) {
         Some(entry) => entry,
         // It is known now that its turn would come too late.
         None => return Err(refusal(shared, ctx, "the line is too long")),
@@ -276,14 +276,14 @@
     fn enqueue(
         shared: &'a Shared,
         ctx: &'a RequestContext,
-        waiting: QueuedRequest,
+        request: QueuedRequest,
     ) -> Option<QueueEntry<'a>> {
-        let id = waiting.id;
+        let id = request.id;
         let now = shared.now();
         let enqueued = {
             let mut state = shared.state();
             let queue = state.queues.entry(ctx.service.clone()).or_default();
-            queue.push(now, waiting, MAX_QUEUED).is_ok()
+            queue.push(now, request, MAX_QUEUED).is_ok()
         };
         // Created only after the state is unlocked: dropping a queue entry locks it again.
         match enqueued {
@@ -326,7 +326,7 @@
 /// time at which callers still follow the advice.
 pub(crate) fn retry_after_for(shared: &Shared, ctx: &RequestContext) -> Duration {
     let now = shared.now();
-    let left = ctx.remaining(now);
+    let remaining = ctx.remaining(now);
     let (stalled, open_at) = {
         let fleet = &shared.state().fleet;
         let throttled = fleet.is_throttled(now, &ctx.service);
@@ -334,15 +334,15 @@
         (fleet.is_stalled(&ctx.service), open_at)
     };
     if stalled {
-        return latest_retry(left);
+        return latest_retry(remaining);
     }
     // Other gateways may serve it at once if only they send.
     let opens_in = open_at.unwrap_or_default().saturating_sub(now);
     let after = opens_in.max(RETRY_BASE) + RETRY_JITTER.mul_f64(rand::random());
-    let latest = left.mul_f64(RETRY_FRACTION);
+    let latest = remaining.mul_f64(RETRY_FRACTION);
     // A caller that retries at the latest time waits for the rest in the queue. If the throttling
     // ends even later, nobody should retry before its end.
-    let max_wait = LATE_WAIT.min(left.saturating_sub(latest) / 3);
+    let max_wait = LATE_WAIT.min(remaining.saturating_sub(latest) / 3);
     match opens_in <= latest + max_wait {
         true => after.min(latest),
         false => after,
@@ -350,6 +350,6 @@
 }
 
 /// About the latest time at which a caller that waits for `remaining` more still retries.
-pub(crate) fn latest_retry(left: Duration) -> Duration {
-    left.mul_f64(RETRY_FRACTION * (1.0 - STALLED_JITTER * rand::random::<f64>()))
+pub(crate) fn latest_retry(remaining: Duration) -> Duration {
+    remaining.mul_f64(RETRY_FRACTION * (1.0 - STALLED_JITTER * rand::random::<f64>()))
 }
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -173,8 +173,7 @@
     };
     let next = {
         let mut state = shared.state();
-        // A backend server that is leaving or gone terminates its runs itself: no request caused
-        // that.
+        // A backend server that is leaving or gone ends with its runs: no request caused that.
         let server = state.fleet.get(&run.start.id);
         if server.is_none_or(|s| s.leaving || s.start_time != run.start.start_time) {
             return;
