--- a/crates/gateway/src/feedback.rs
+++ b/crates/gateway/src/feedback.rs
@@ -12,8 +12,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Records the directives in a response's headers, whatever its status or body; `sent` is when its
-/// request was sent.
+/// Records the directives in a response's headers, whatever else the response says; `sent` is when
+/// its request was sent.
 pub(crate) fn record<B>(
     shared: &Shared,
     ctx: &RequestContext,
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Reports limits to coordinators that are not in the registrations.
+    /// Reports to coordinators the limits that their registrations do not contain.
     fn report_limits(&self) {
         let now = self.shared.now();
         let limits = self.shared.state().fleet.limits_to_report(now);
