--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -85,7 +85,7 @@
     let address = reservation.server.address;
     // A pooled connection that turns out to be closed before a byte was sent is replaced by a new
     // one.
-    let mut idle = shared.pool.idle(shared.now(), address);
+    let mut idle = shared.pool.take_idle(shared.now(), address);
     let mut connection = loop {
         let connection = match idle.take() {
             Some(connection) => connection,
--- a/crates/gateway/src/frontend.rs
+++ b/crates/gateway/src/frontend.rs
@@ -7,7 +7,7 @@
 use crate::{context, placement, plain, stream};
 use bn_directory::ANSWER_TTL;
 use bn_platform::call::{self, Call};
-use bn_serve::{Body, BodyFault, text, whole_body};
+use bn_serve::{Body, BodyError, read_body, text};
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 use serde_json::json;
@@ -49,7 +49,7 @@
         return refuse(&shared, &ctx, &stopping);
     }
     let max_bytes = document.map_or(0, |d| d.limits().body_bytes);
-    match whole_body(body, max_bytes, ctx.remaining(now)).await {
+    match read_body(body, max_bytes, ctx.remaining(now)).await {
         Ok(body) => ctx.body = body,
         Err(error) => return refuse(&shared, &ctx, &body_refusal(error)),
     }
@@ -104,11 +104,11 @@
     text(200, "application/json", body)
 }
 
-fn body_refusal(error: BodyFault) -> Refusal {
+fn body_refusal(error: BodyError) -> Refusal {
     match error {
-        BodyFault::Slow => Refusal::not_retryable(408, "the body came too slowly"),
-        BodyFault::TooLarge => Refusal::not_retryable(413, "the body is too large"),
-        BodyFault::Broken => Refusal::not_retryable(400, "the body broke off"),
+        BodyError::TimedOut => Refusal::not_retryable(408, "the body came too slowly"),
+        BodyError::TooLarge => Refusal::not_retryable(413, "the body is too large"),
+        BodyError::Broken => Refusal::not_retryable(400, "the body broke off"),
     }
 }
 
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -9,7 +9,7 @@
 use crate::suspects::Report;
 use bn_backpressure::GatewaySet;
 use bn_directory::{GatewaySelection, SelectedGateway};
-use bn_net::{Net, Usage};
+use bn_net::{Net, UsageReporter};
 use bn_quarantine::{CaseUpdate, Digest};
 use bn_registry::{Condition, Record};
 use bn_route::Server;
@@ -64,7 +64,7 @@
     reported_ready: bool,
     registrations: IndexMap<String, Record>,
     rate: RequestRate,
-    usage: Usage,
+    usage: UsageReporter,
     /// Maximum inbox length since the last usage event.
     max_inbox: usize,
     /// Suspects that wait for the leader's trial answer, by call number.
@@ -89,7 +89,7 @@
             reported_ready: false,
             registrations: IndexMap::new(),
             rate: RequestRate::default(),
-            usage: Usage::default(),
+            usage: UsageReporter::default(),
             max_inbox: 0,
             pending_trials: IndexMap::new(),
             last_call: 0,
@@ -132,12 +132,13 @@
         let queues =
             || json!({ "inbox": inbox_length, "inbox_longest": std::mem::take(max_inbox) });
         let now = self.shared.now();
-        self.usage.note(now, &self.net, &self.shared.lines, queues);
+        self.usage
+            .report_if_due(now, &self.net, &self.shared.lines, queues);
     }
 
     fn poll_next(&mut self) {
         let now = self.shared.now();
-        self.shared.pool.sweep(now);
+        self.shared.pool.evict_expired(now);
         let throttled = self.shared.state().fleet.throttled_count(now);
         metrics::gauge!("backend_servers_held").set(throttled as f64);
         self.report_limits();
@@ -171,7 +172,7 @@
         let version = self.shared.document().map_or(0, |d| d.version());
         let poll = self.sources.on_poll(inbox);
         if poll.reopen {
-            self.net.forget(inbox);
+            self.net.disconnect(inbox);
         }
         if poll.lost {
             let lost = json!({ "coordinator": inbox, "version": version });
@@ -256,7 +257,7 @@
             let fields = json!({ "version": update.version, "coordinator": inbox });
             return self.shared.lines.put("document_not_taken", fields);
         }
-        let json = match bn_wire::unpack(&update.document) {
+        let json = match bn_wire::decompress(&update.document) {
             Ok(json) => json,
             Err(e) => return log::error!("cannot decompress document {}: {e}", update.version),
         };
@@ -329,7 +330,7 @@
         drop(state);
         feedback::merge_limit(&self.shared, &record, source);
         if let Some(address) = record.address.filter(|_| restarted) {
-            self.shared.pool.forget(address);
+            self.shared.pool.close_idle(address);
         }
         self.shared.capacity_freed.notify_waiters();
         let fields = json!({
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -95,7 +95,7 @@
     let idle_timeout = attempt::keep_alive_timeout(&parts.headers);
     let body = Limited::new(body, MAX_BODY_BYTES).collect().await;
     let body = body.map_err(|_| CollectError::Incomplete)?.to_bytes();
-    shared.pool.keep(shared.now(), connection, idle_timeout);
+    shared.pool.put_back(shared.now(), connection, idle_timeout);
     drop(reservation);
     match signed || !parts.status.is_success() {
         true => Ok(CompleteAnswer { parts, body }),
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -181,7 +181,7 @@
                     let now = shared.now();
                     shared
                         .pool
-                        .keep(now, source.connection, source.idle_timeout);
+                        .put_back(now, source.connection, source.idle_timeout);
                     shared.state().fleet.record_success(now, &id);
                     suspects::on_complete(shared, &self.ctx);
                     return self.log_event("stream_whole", &id, "");
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -210,9 +210,9 @@
         match opened {
             Ok(connection) => {
                 shared.state().loss_tracker.on_reachable(&run.start);
-                shared.pool.keep(now, connection, None);
+                shared.pool.put_back(now, connection, None);
             }
-            Err(e) if e.nobody_listens() => {
+            Err(e) if e.is_connection_refused() => {
                 let termination = shared.state().loss_tracker.on_terminated(now, &run.start);
                 if let Some(termination) = termination {
                     report_termination(&shared, termination, "refused");
@@ -242,7 +242,7 @@
         state.fleet.get(&start.id).map(|s| s.address)
     };
     if let Some(address) = address {
-        shared.pool.forget(address);
+        shared.pool.close_idle(address);
     }
     shared.capacity_freed.notify_waiters();
     let fields = json!({ "id": start.id, "began": start.start_time, "sign": sign });
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP under every role: connections to others ([`client`]), and the server: one thread with a current-thread runtime, bounds on
-//! what a slow or broken peer can hold, and a graceful end of its connections.
+//! HTTP for all roles: the client ([`client`]), and a server with one thread, a current-thread
+//! runtime, limits on the resources of a slow or broken peer, and graceful shutdown of connections.
 //!
-//! Library choice, measured: `tiny_http` cannot bound slow headers; `astra` 0.4 left
-//! 2 to 6 of 1,000 new connections unanswered for ever (docs/DESIGN.md).
+//! Choice of library, from measurements: `tiny_http` has no timeout for slow headers; `astra` 0.4
+//! never answered 2 to 6 of 1,000 new connections (docs/DESIGN.md).
 
 pub mod client;
 
@@ -24,54 +24,54 @@
 use tokio::sync::watch;
 use tokio_rustls::TlsAcceptor;
 
-/// Wait after a failed accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Body of an answer.
+/// Body of a response.
 pub type Body = BoxBody<Bytes, io::Error>;
 
-/// What a peer may hold of a server.
+/// Limits on the server resources that a peer may use.
 #[derive(Debug, Clone, Copy)]
-pub struct Bounds {
-    /// A peer must have sent its whole header by then; so an idle connection ends too.
-    pub header_time: Duration,
-    /// A peer must have sent its whole body by then.
-    pub body_time: Duration,
+pub struct ConnectionLimits {
+    /// Time within which a peer must send its complete header; also closes idle connections.
+    pub header_timeout: Duration,
+    /// Time within which a peer must send its complete body.
+    pub body_timeout: Duration,
     /// Largest header section, in bytes.
-    pub header_bytes: usize,
+    pub max_header_bytes: usize,
 }
 
-impl Default for Bounds {
-    fn default() -> Bounds {
-        Bounds {
-            header_time: Duration::from_secs(5),
-            body_time: Duration::from_secs(10),
-            header_bytes: 16 * 1024,
+impl Default for ConnectionLimits {
+    fn default() -> ConnectionLimits {
+        ConnectionLimits {
+            header_timeout: Duration::from_secs(5),
+            body_timeout: Duration::from_secs(10),
+            max_header_bytes: 16 * 1024,
         }
     }
 }
 
-/// Why a request's body could not be had.
+/// Why a request's body could not be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BodyFault {
-    /// It did not come in time.
-    Slow,
-    /// It is larger than the limit.
+pub enum BodyError {
+    /// The body did not arrive in time.
+    TimedOut,
+    /// The body exceeds the size limit.
     TooLarge,
-    /// The connection broke, or the framing is wrong.
+    /// The connection broke, or the framing is invalid.
     Broken,
 }
 
-/// Serves on its own thread, until the process ends.
-pub fn serve<F, A>(
+/// Serves on a new thread until the process exits.
+pub fn serve<F, Fut>(
     listener: TcpListener,
     name: &str,
     tls: Option<TlsAcceptor>,
     handle: F,
 ) -> io::Result<()>
 where
-    F: Fn(Request<Incoming>) -> A + Clone + Send + Sync + 'static,
-    A: Future<Output = Response<Body>> + Send + 'static,
+    F: Fn(Request<Incoming>) -> Fut + Clone + Send + Sync + 'static,
+    Fut: Future<Output = Response<Body>> + Send + 'static,
 {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -79,29 +79,29 @@
     std::thread::Builder::new()
         .name(name.into())
         .spawn(move || {
-            // Nobody asks these connections to end before the process does.
+            // These connections are never shut down before the process exits.
             let (_open, closing) = watch::channel(false);
-            let accepted = accept(listener, tls, Bounds::default(), closing, handle);
+            let accepted = accept(listener, tls, ConnectionLimits::default(), closing, handle);
             if let Err(e) = runtime.block_on(accepted) {
-                log::error!("http: {e}");
+                log::error!("HTTP server failed: {e}");
             }
         })?;
     Ok(())
 }
 
-/// Accepts connections within the current runtime. Once `closing` turns true, idle
-/// connections end and the others end with their next answer, which says so; new ones
-/// are still served, one request each.
-pub async fn accept<F, A>(
+/// Accepts connections on the current runtime. Once `closing` is true, idle connections are closed,
+/// and the others after their next response, which announces it; new connections are still
+/// accepted and serve one request each.
+pub async fn accept<F, Fut>(
     listener: TcpListener,
     tls: Option<TlsAcceptor>,
-    bounds: Bounds,
+    limits: ConnectionLimits,
     closing: watch::Receiver<bool>,
     handle: F,
 ) -> io::Result<()>
 where
-    F: Fn(Request<Incoming>) -> A + Clone + Send + Sync + 'static,
-    A: Future<Output = Response<Body>> + Send + 'static,
+    F: Fn(Request<Incoming>) -> Fut + Clone + Send + Sync + 'static,
+    Fut: Future<Output = Response<Body>> + Send + 'static,
 {
     listener.set_nonblocking(true)?;
     let listener = tokio::net::TcpListener::from_std(listener)?;
@@ -109,25 +109,26 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
-                // Out of file handles: waiting lets connections end; giving up
-                // would end the service for everybody.
+                // Out of file descriptors: after a delay other connections may have closed, whereas
+                // returning would stop the service for all callers.
                 metrics::counter!("http_accept_errors").increment(1);
-                log::warn!("accept: {e}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                log::warn!("failed to accept a connection: {e}");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         if let Err(e) = stream.set_nodelay(true) {
-            log::debug!("no delay: {e}");
+            log::debug!("failed to set TCP_NODELAY: {e}");
         }
         let (handle, tls, closing) = (handle.clone(), tls.clone(), closing.clone());
         tokio::spawn(async move {
             match tls {
-                None => connection(stream, bounds, closing, handle).await,
-                // A peer that never ends its handshake would hold the connection.
+                None => serve_connection(stream, limits, closing, handle).await,
+                // Without a timeout, a peer that never completes its handshake would keep the
+                // connection open.
                 Some(tls) => {
-                    match tokio::time::timeout(bounds.header_time, tls.accept(stream)).await {
-                        Ok(Ok(stream)) => connection(stream, bounds, closing, handle).await,
+                    match tokio::time::timeout(limits.header_timeout, tls.accept(stream)).await {
+                        Ok(Ok(stream)) => serve_connection(stream, limits, closing, handle).await,
                         _ => metrics::counter!("http_handshake_errors").increment(1),
                     }
                 }
@@ -136,29 +137,29 @@
     }
 }
 
-async fn connection<S, F, A>(
+async fn serve_connection<S, F, Fut>(
     stream: S,
-    bounds: Bounds,
+    limits: ConnectionLimits,
     mut closing: watch::Receiver<bool>,
     handle: F,
 ) where
     S: AsyncRead + AsyncWrite + Unpin + Send + 'static,
-    F: Fn(Request<Incoming>) -> A + Clone + Send + Sync + 'static,
-    A: Future<Output = Response<Body>> + Send + 'static,
+    F: Fn(Request<Incoming>) -> Fut + Clone + Send + Sync + 'static,
+    Fut: Future<Output = Response<Body>> + Send + 'static,
 {
     let service = service_fn(|request| {
-        let answer = handle(request);
-        async move { Ok::<_, Infallible>(answer.await) }
+        let response = handle(request);
+        async move { Ok::<_, Infallible>(response.await) }
     });
     let serving = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(bounds.header_time)
-        .max_buf_size(bounds.header_bytes.max(8 * 1024))
+        .header_read_timeout(limits.header_timeout)
+        .max_buf_size(limits.max_header_bytes.max(8 * 1024))
         .serve_connection(TokioIo::new(stream), service);
     let mut serving = pin!(serving);
     let served = tokio::select! {
         served = serving.as_mut() => served,
-        () = turned_true(&mut closing) => {
+        () = wait_until_true(&mut closing) => {
             serving.as_mut().graceful_shutdown();
             serving.await
         }
@@ -168,33 +169,37 @@
     }
 }
 
-/// Waits for ever where nobody is left to turn it.
-async fn turned_true(closing: &mut watch::Receiver<bool>) {
+/// Waits until `closing` is true; waits forever if its sender was dropped.
+async fn wait_until_true(closing: &mut watch::Receiver<bool>) {
     if closing.wait_for(|c| *c).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
-/// The whole body, bounded in size and time.
-pub async fn whole_body(body: Incoming, most: usize, time: Duration) -> Result<Bytes, BodyFault> {
-    let collected = Limited::new(body, most).collect();
-    let body = tokio::time::timeout(time, collected).await;
-    let body = body.map_err(|_| BodyFault::Slow)?;
+/// Reads the complete body, limited in size and time.
+pub async fn read_body(
+    body: Incoming,
+    max_bytes: usize,
+    timeout: Duration,
+) -> Result<Bytes, BodyError> {
+    let collected = Limited::new(body, max_bytes).collect();
+    let body = tokio::time::timeout(timeout, collected).await;
+    let body = body.map_err(|_| BodyError::TimedOut)?;
     let body = body.map_err(|e| match e.is::<LengthLimitError>() {
-        true => BodyFault::TooLarge,
-        false => BodyFault::Broken,
+        true => BodyError::TooLarge,
+        false => BodyError::Broken,
     })?;
     Ok(body.to_bytes())
 }
 
-/// A short answer.
-pub fn text(status: u16, kind: &'static str, text: impl Into<Bytes>) -> Response<Body> {
+/// Builds a short response.
+pub fn text(status: u16, content_type: &'static str, text: impl Into<Bytes>) -> Response<Body> {
     let body = Full::new(text.into()).map_err(|e: Infallible| match e {});
     let mut response = Response::new(BodyExt::boxed(body));
     *response.status_mut() =
         StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     response
         .headers_mut()
-        .insert(CONTENT_TYPE, HeaderValue::from_static(kind));
+        .insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     response
 }
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,25 +1,25 @@
-//! The few disk operations the store makes, each announced first, so that a test
-//! can fail or stop at any of them.
+//! The disk operations of the store. A callback runs before each of them, so that a test can make
+//! any of them fail.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::Path;
 
-/// A disk operation about to happen.
+/// A disk operation that is about to run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
-    /// Bytes go to a file.
+pub enum DiskOperation {
+    /// Write to a file.
     Write,
-    /// A file's bytes are synced.
+    /// Sync a file.
     Sync,
-    /// A file takes another's name.
+    /// Rename a file over another.
     Rename,
-    /// A folder is synced, so that names in it last.
-    SyncFolder,
+    /// Sync a directory, so that the names in it are durable.
+    SyncDirectory,
 }
 
-/// Announces each operation; an error from it is the operation's error.
-pub struct Disk(Box<dyn FnMut(Step) -> io::Result<()> + Send>);
+/// Runs disk operations, each after a callback; an error of the callback is the operation's error.
+pub struct Disk(Box<dyn FnMut(DiskOperation) -> io::Result<()> + Send>);
 
 impl Default for Disk {
     fn default() -> Disk {
@@ -28,58 +28,58 @@
 }
 
 impl Disk {
-    /// A disk whose operations `check` may fail.
-    pub fn new(check: impl FnMut(Step) -> io::Result<()> + Send + 'static) -> Disk {
+    /// Returns a disk that calls `check` before each operation.
+    pub fn new(check: impl FnMut(DiskOperation) -> io::Result<()> + Send + 'static) -> Disk {
         Disk(Box::new(check))
     }
 
     pub(crate) fn append(&mut self, file: &mut File, bytes: &[u8]) -> io::Result<()> {
-        (self.0)(Step::Write)?;
+        (self.0)(DiskOperation::Write)?;
         file.write_all(bytes)?;
-        (self.0)(Step::Sync)?;
+        (self.0)(DiskOperation::Sync)?;
         file.sync_data()
     }
 
-    /// Replaces `path` by a file with these bytes: after a crash either the old or
-    /// the new content stands there, whole.
+    /// Atomically replaces the content of `path`: after a crash the file has either the complete
+    /// old or the complete new content.
     pub(crate) fn replace(&mut self, path: &Path, bytes: &[u8]) -> io::Result<()> {
-        let side = path.with_extension("new");
+        let temporary = path.with_extension("new");
         let mut file = OpenOptions::new()
             .create(true)
             .write(true)
             .truncate(true)
-            .open(&side)?;
-        (self.0)(Step::Write)?;
+            .open(&temporary)?;
+        (self.0)(DiskOperation::Write)?;
         file.write_all(bytes)?;
-        (self.0)(Step::Sync)?;
+        (self.0)(DiskOperation::Sync)?;
         file.sync_all()?;
-        (self.0)(Step::Rename)?;
-        fs::rename(&side, path)?;
-        (self.0)(Step::SyncFolder)?;
-        sync_folder(path)
+        (self.0)(DiskOperation::Rename)?;
+        fs::rename(&temporary, path)?;
+        (self.0)(DiskOperation::SyncDirectory)?;
+        sync_directory(path)
     }
 
-    /// Makes what a process before this one wrote last: it may have been killed between a
-    /// write and its sync. Read back without this, it would be acknowledged to others as
-    /// synced, and a power loss would take it.
-    pub(crate) fn make_last(&mut self, file: &File, path: &Path) -> io::Result<()> {
-        (self.0)(Step::Sync)?;
+    /// Syncs what an earlier process wrote, since it may have been killed between a write and its
+    /// sync. Without this, content that was read back would be acknowledged to others as durable,
+    /// and a power loss could destroy it.
+    pub(crate) fn sync_existing(&mut self, file: &File, path: &Path) -> io::Result<()> {
+        (self.0)(DiskOperation::Sync)?;
         file.sync_all()?;
-        (self.0)(Step::SyncFolder)?;
-        sync_folder(path)
+        (self.0)(DiskOperation::SyncDirectory)?;
+        sync_directory(path)
     }
 
-    pub(crate) fn cut(&mut self, file: &File, length: u64) -> io::Result<()> {
-        (self.0)(Step::Write)?;
+    pub(crate) fn truncate(&mut self, file: &File, length: u64) -> io::Result<()> {
+        (self.0)(DiskOperation::Write)?;
         file.set_len(length)?;
-        (self.0)(Step::Sync)?;
+        (self.0)(DiskOperation::Sync)?;
         file.sync_all()
     }
 }
 
-fn sync_folder(path: &Path) -> io::Result<()> {
+fn sync_directory(path: &Path) -> io::Result<()> {
     match path.parent() {
-        Some(folder) => File::open(folder)?.sync_all(),
+        Some(directory) => File::open(directory)?.sync_all(),
         None => Ok(()),
     }
 }
