--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -16,19 +16,19 @@
 const MAX_PRIORITY: u32 = 9;
 
 /// A reserved slot at a backend server, released on drop.
-pub(crate) struct SlotReservation {
+pub(crate) struct Reservation {
     shared: Shared,
     pub(crate) server: Server,
 }
 
-impl SlotReservation {
-    pub(crate) fn new(shared: &Shared, server: Server) -> SlotReservation {
+impl Reservation {
+    pub(crate) fn new(shared: &Shared, server: Server) -> Reservation {
         let shared = shared.clone();
-        SlotReservation { shared, server }
+        Reservation { shared, server }
     }
 }
 
-impl Drop for SlotReservation {
+impl Drop for Reservation {
     fn drop(&mut self) {
         let Server { id, start_time, .. } = &self.server;
         self.shared.state().fleet.record_end(id, *start_time);
@@ -42,8 +42,7 @@
     Head(Box<Head>),
     /// No backend server was reached: no byte was sent.
     NotSent(&'static str),
-    /// Since it was picked, the backend server has directed that it wants no request now: no byte
-    /// was sent.
+    /// Since it was picked, the backend server has asked for no request now: no byte was sent.
     Withheld,
     /// The backend server says that it did not run it.
     NotRun(NotRunReason),
@@ -71,7 +70,7 @@
 pub(crate) struct Head {
     pub(crate) response: Response<Incoming>,
     pub(crate) connection: Connection,
-    pub(crate) reservation: SlotReservation,
+    pub(crate) reservation: Reservation,
 }
 
 /// Sends a request to the backend server of `reservation`; with `last_event`, the stream resumes
@@ -79,12 +78,11 @@
 pub(crate) async fn send(
     shared: &Shared,
     ctx: &RequestContext,
-    reservation: SlotReservation,
+    reservation: Reservation,
     last_event: Option<&str>,
 ) -> Outcome {
     let address = reservation.server.address;
-    // A pooled connection that turns out to be closed before a byte was sent is replaced by a new
-    // one.
+    // A connection that turns out to be closed before a byte was sent is replaced by a new one.
     let mut idle = shared.pool.take_idle(shared.now(), address);
     let mut connection = loop {
         let connection = match idle.take() {
@@ -126,7 +124,7 @@
     sent: Duration,
     response: Response<Incoming>,
     connection: Connection,
-    reservation: SlotReservation,
+    reservation: Reservation,
 ) -> Outcome {
     let headers = response.headers();
     record_load(shared, &reservation.server, headers);
@@ -146,8 +144,7 @@
             false => NotRunReason::Full,
         });
     }
-    // A surplus response to an earlier request may arrive on the connection where this one is
-    // expected.
+    // A surplus response to an earlier request may arrive where this one is expected.
     if text(headers, header::ATTEMPT) != Some(&ctx.id) {
         return Outcome::Mismatched;
     }
--- a/crates/gateway/src/cases.rs
+++ b/crates/gateway/src/cases.rs
@@ -37,12 +37,11 @@
         }
     }
 
-    /// Another gateway saw a backend server terminate. Runs that were lost at this gateway count at
-    /// once.
+    /// Another gateway saw a backend server terminate. Runs that were lost here count at once.
     pub(crate) fn on_remote_termination(&self, start: &Start) {
         suspects::mark_terminated(&self.shared, start, "told");
         let now = self.shared.now();
-        let termination = self.shared.state().loss_tracker.on_terminated(now, start);
+        let termination = self.shared.state().losses.on_terminated(now, start);
         if let Some(termination) = termination {
             suspects::report_termination(&self.shared, termination, "told");
         }
@@ -100,7 +99,7 @@
         let terminations = self
             .shared
             .state()
-            .loss_tracker
+            .losses
             .on_start(now, &next, record.address);
         for termination in terminations {
             suspects::report_termination(&self.shared, termination, "followed");
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -81,7 +81,7 @@
                 if attempts.unsent >= MAX_UNSENT {
                     let later = Refusal::retryable(
                         "no backend server reached",
-                        placement::retry_after_for(shared, ctx),
+                        placement::retry_delay(shared, ctx),
                     );
                     return Err(attempts.final_refusal(later));
                 }
@@ -170,7 +170,7 @@
             let now = shared.now();
             let mut state = shared.state();
             state.fleet.mark_stalled(now, id);
-            state.reset_fill_controller(id);
+            state.reset_controller(id);
             attempts.sent += 1;
         }
     }
@@ -185,7 +185,7 @@
         true => Ok(()),
         false => Err(attempts.final_refusal(Refusal::retryable(
             message,
-            placement::retry_after_for(shared, ctx),
+            placement::retry_delay(shared, ctx),
         ))),
     }
 }
--- a/crates/gateway/src/feedback.rs
+++ b/crates/gateway/src/feedback.rs
@@ -26,12 +26,11 @@
     if status == 421 && text(headers, header::SERVER) != Some(&server.id) {
         return;
     }
-    let authentic_headers = [header::SIGNATURE, header::NOT_RUN].map(|h| headers.contains_key(h));
+    let markers = [header::SIGNATURE, header::NOT_RUN].map(|h| headers.contains_key(h));
     let feedback = Feedback {
         directives: parse_directives(status, headers),
         sent_at: sent,
-        authentic: authentic_headers.contains(&true)
-            && text(headers, header::ATTEMPT) == Some(&ctx.id),
+        authentic: markers.contains(&true) && text(headers, header::ATTEMPT) == Some(&ctx.id),
     };
     let now = shared.now();
     let (previous, limit, interval) = {
--- a/crates/gateway/src/frontend.rs
+++ b/crates/gateway/src/frontend.rs
@@ -16,8 +16,7 @@
 /// One in this many ordinary successes is logged; everything else always is.
 const SUCCESS_LOG_SAMPLING: u32 = 32;
 
-/// Fraction of the caller's waiting time for which a request is held until a configuration is
-/// known.
+/// Fraction of the caller's wait for which it is held until a configuration is known.
 const DOCUMENT_WAIT_FRACTION: f64 = 0.33;
 
 /// Whether this success is logged.
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -21,8 +21,7 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// Time over which the request rate is averaged: some seconds, so that random variation is not
-/// reported.
+/// Time over which the request rate is averaged: some seconds, so that noise is not reported.
 const RATE_WINDOW: Duration = Duration::from_secs(5);
 /// Slowdown of a sound backend server, and of one whose slowdown is not known.
 const BASELINE_SLOWDOWN: u32 = 100;
@@ -38,8 +37,7 @@
 }
 
 impl RequestRate {
-    /// Updates the rate with the number of requests accepted until now; returns the rate, at least
-    /// 1 if there are any requests.
+    /// Takes the number of requests accepted until now; the rate is at least 1 if there are any.
     fn update(&mut self, now: Duration, accepted: u64) -> u32 {
         let time = now.saturating_sub(self.measured_at).as_secs_f64();
         if time > 0.0 {
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -6,7 +6,7 @@
 //! possible in time.
 
 use crate::answer::Refusal;
-use crate::attempt::SlotReservation;
+use crate::attempt::Reservation;
 use crate::context::RequestContext;
 use crate::shared::{Shared, State};
 use bn_limit::QueuedRequest;
@@ -61,12 +61,12 @@
     shared: &Shared,
     ctx: &RequestContext,
     tried: &[ServerId],
-) -> Result<SlotReservation, Refusal> {
-    let started_at = shared.now();
+) -> Result<Reservation, Refusal> {
+    let start = shared.now();
     match reserve_now(shared, ctx, tried) {
         Ok(reservation) => Ok(reservation),
-        Err(Unavailable::NoServers) => wait_for_servers(shared, ctx, tried, started_at).await,
-        Err(unavailable) => wait_or_refuse(shared, ctx, tried, started_at, unavailable).await,
+        Err(Unavailable::NoServers) => wait_for_servers(shared, ctx, tried, start).await,
+        Err(cause) => wait_or_refuse(shared, ctx, tried, start, cause).await,
     }
 }
 
@@ -75,17 +75,17 @@
     shared: &Shared,
     ctx: &RequestContext,
     tried: &[ServerId],
-    started_at: Duration,
-    unavailable: Unavailable,
-) -> Result<SlotReservation, Refusal> {
-    let until = started_at + max_queue_time(ctx, started_at);
-    let reason = match unavailable {
-        Unavailable::Full => return wait_in_queue(shared, ctx, tried, started_at).await,
+    start: Duration,
+    cause: Unavailable,
+) -> Result<Reservation, Refusal> {
+    let until = start + max_queue_time(ctx, start);
+    let reason = match cause {
+        Unavailable::Full => return wait_in_queue(shared, ctx, tried, start).await,
         Unavailable::Throttled(Some(open_at)) if open_at <= until => {
-            return wait_in_queue(shared, ctx, tried, started_at).await;
+            return wait_in_queue(shared, ctx, tried, start).await;
         }
-        Unavailable::Stalled if accepts_late(ctx, started_at) => {
-            return wait_in_queue(shared, ctx, tried, started_at).await;
+        Unavailable::Stalled if accepts_late(ctx, start) => {
+            return wait_in_queue(shared, ctx, tried, start).await;
         }
         // It will be stalled for longer than any request may wait.
         Unavailable::Stalled => STALLED,
@@ -101,7 +101,7 @@
     shared: &Shared,
     ctx: &RequestContext,
     tried: &[ServerId],
-) -> Result<SlotReservation, Unavailable> {
+) -> Result<Reservation, Unavailable> {
     let now = shared.now();
     let mut state = shared.state();
     let queue = state.queues.entry(ctx.service.clone()).or_default();
@@ -120,13 +120,13 @@
     state: &mut State,
     ctx: &RequestContext,
     tried: &[ServerId],
-) -> Result<SlotReservation, Unavailable> {
+) -> Result<Reservation, Unavailable> {
     let now = shared.now();
-    let accepts_late_start = accepts_late(ctx, now);
-    let (fill_controllers, service) = (&state.fill_controllers, ctx.service.as_str());
+    let late = accepts_late(ctx, now);
+    let (controllers, service) = (&state.controllers, ctx.service.as_str());
     let fill_limit = |unit: &str| {
         let streams = || {
-            find_controller(fill_controllers, unit, service)
+            find_controller(controllers, unit, service)
                 .map_or(FillController::INITIAL, FillController::fill_limit)
         };
         let fill_limit = if ctx.streams() {
@@ -134,7 +134,7 @@
         } else {
             PLAIN_FILL_LIMIT
         };
-        fill_limit_for(accepts_late_start, fill_limit)
+        fill_limit_for(late, fill_limit)
     };
     let args = PickArgs {
         service: &ctx.service,
@@ -144,28 +144,26 @@
     };
     let picked = state.fleet.pick(now, &args, rand::random::<f64>);
     let server = picked.cloned()?;
-    if ctx.streams() && !state.fill_controllers.contains_key(&server.unit) {
+    if ctx.streams() && !state.controllers.contains_key(&server.unit) {
         let controller =
-            find_controller(&state.fill_controllers, &server.unit, &server.service).cloned();
+            find_controller(&state.controllers, &server.unit, &server.service).cloned();
         let unit = server.unit.clone();
         state
-            .fill_controllers
+            .controllers
             .insert(unit, controller.unwrap_or_default());
     }
     state.fleet.record_sent(now, &server.id);
-    Ok(SlotReservation::new(shared, server))
+    Ok(Reservation::new(shared, server))
 }
 
 /// Fill controller of a unit. What was learnt before a service's backend servers reported their
 /// groups applies to each group.
 fn find_controller<'a>(
-    fill_controllers: &'a IndexMap<Unit, FillController>,
+    controllers: &'a IndexMap<Unit, FillController>,
     unit: &str,
     service: &str,
 ) -> Option<&'a FillController> {
-    fill_controllers
-        .get(unit)
-        .or_else(|| fill_controllers.get(service))
+    controllers.get(unit).or_else(|| controllers.get(service))
 }
 
 /// Whether a request waits for a stalled group to run again. A first attempt is told when to retry;
@@ -185,19 +183,19 @@
     shared: &Shared,
     ctx: &RequestContext,
     tried: &[ServerId],
-    started_at: Duration,
-) -> Result<SlotReservation, Refusal> {
-    let until = match accepts_late(ctx, started_at) {
-        true => started_at + max_queue_time(ctx, started_at),
-        false => started_at + NO_SERVERS_WAIT.min(ctx.remaining(started_at) / 3),
+    start: Duration,
+) -> Result<Reservation, Refusal> {
+    let until = match accepts_late(ctx, start) {
+        true => start + max_queue_time(ctx, start),
+        false => start + NO_SERVERS_WAIT.min(ctx.remaining(start) / 3),
     };
     loop {
         wait_for_capacity(shared).await;
         match reserve_now(shared, ctx, tried) {
             Ok(reservation) => return Ok(reservation),
             Err(Unavailable::NoServers) if shared.now() < until => {}
-            Err(unavailable) => {
-                return wait_or_refuse(shared, ctx, tried, started_at, unavailable).await;
+            Err(cause) => {
+                return wait_or_refuse(shared, ctx, tried, start, cause).await;
             }
         }
     }
@@ -221,13 +219,13 @@
     shared: &Shared,
     ctx: &RequestContext,
     tried: &[ServerId],
-    started_at: Duration,
-) -> Result<SlotReservation, Refusal> {
-    let until = started_at + max_queue_time(ctx, started_at);
+    start: Duration,
+) -> Result<Reservation, Refusal> {
+    let until = start + max_queue_time(ctx, start);
     let request = QueuedRequest {
         id: rand::random(),
         account: ctx.account.clone().unwrap_or_default(),
-        priority: queue_priority(ctx, started_at),
+        priority: queue_priority(ctx, start),
         share: 1,
         deadline: until,
     };
@@ -241,7 +239,7 @@
         if let Some(reservation) = entry.reserve_if_first(tried) {
             return Ok(reservation);
         }
-        if !accepts_late(ctx, started_at) && shared.state().fleet.is_stalled(&ctx.service) {
+        if !accepts_late(ctx, start) && shared.state().fleet.is_stalled(&ctx.service) {
             return Err(refusal(shared, ctx, STALLED));
         }
         // Callers must not be held for a group that was never complete or does not recover.
@@ -293,7 +291,7 @@
     }
 
     /// Reserves a slot if this request is first in the queue and a slot is free.
-    fn reserve_if_first(&self, tried: &[ServerId]) -> Option<SlotReservation> {
+    fn reserve_if_first(&self, tried: &[ServerId]) -> Option<Reservation> {
         let now = self.shared.now();
         let service = &self.ctx.service;
         let mut state = self.shared.state();
@@ -319,12 +317,12 @@
 }
 
 fn refusal(shared: &Shared, ctx: &RequestContext, reason: &'static str) -> Refusal {
-    Refusal::retryable(reason, retry_after_for(shared, ctx))
+    Refusal::retryable(reason, retry_delay(shared, ctx))
 }
 
 /// When a refused caller should retry. A stalled group remains so for some seconds: then the latest
 /// time at which callers still follow the advice.
-pub(crate) fn retry_after_for(shared: &Shared, ctx: &RequestContext) -> Duration {
+pub(crate) fn retry_delay(shared: &Shared, ctx: &RequestContext) -> Duration {
     let now = shared.now();
     let remaining = ctx.remaining(now);
     let (stalled, open_at) = {
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -19,8 +19,7 @@
 
 /// Interval between checks for a first configuration.
 const DOCUMENT_POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// Minimum interval between events on the fill limit of services: it changes several times a
-/// second.
+/// Minimum interval between events on the fill limit: it changes several times a second.
 const FILL_EVENT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The state of one gateway. Cheap to clone.
@@ -56,7 +55,7 @@
     /// Requests that wait for a slot, by service.
     pub(crate) queues: IndexMap<String, Queue>,
     /// Fill controllers of streaming services, by unit.
-    pub(crate) fill_controllers: IndexMap<Unit, FillController>,
+    pub(crate) controllers: IndexMap<Unit, FillController>,
     /// When the next event on the fill limit is due.
     fill_event_due: Duration,
     /// How long callers wait, by route.
@@ -68,14 +67,14 @@
     /// Requests under which backend servers terminated, as reported by coordinators.
     pub(crate) cases: Table,
     /// Runs that were lost at this gateway.
-    pub(crate) loss_tracker: LossTracker,
+    pub(crate) losses: LossTracker,
 }
 
 impl State {
     /// The unit of a backend server is stalled: what its fill controller has learnt is void.
-    pub(crate) fn reset_fill_controller(&mut self, id: &str) {
+    pub(crate) fn reset_controller(&mut self, id: &str) {
         let unit = self.fleet.get(id).map(|s| &s.unit);
-        if let Some(controller) = unit.and_then(|u| self.fill_controllers.get_mut(u)) {
+        if let Some(controller) = unit.and_then(|u| self.controllers.get_mut(u)) {
             controller.reset();
         }
     }
@@ -101,13 +100,13 @@
             fleet: Fleet::new(domain),
             retry_budgets: IndexMap::new(),
             queues: IndexMap::new(),
-            fill_controllers: IndexMap::new(),
+            controllers: IndexMap::new(),
             fill_event_due: Duration::ZERO,
             retry_detector: RetryDetector::default(),
             gateway_count: 1,
             selection: GatewaySelection::default(),
             cases: Table::default(),
-            loss_tracker: LossTracker::default(),
+            losses: LossTracker::default(),
         };
         Shared(Arc::new(Inner {
             start: Instant::now(),
@@ -163,8 +162,7 @@
         self.stopped_accepting.load(Ordering::Relaxed)
     }
 
-    /// Whether callers may be sent here: this gateway knows the settled configuration and is not
-    /// stopping.
+    /// Whether callers may be sent here: it knows the settled configuration and is not stopping.
     pub(crate) fn is_ready(&self) -> bool {
         !self.is_closing() && self.state().document.is_some()
     }
@@ -175,14 +173,14 @@
         let now = self.now();
         let mut state = self.state();
         let State {
-            fill_controllers,
+            controllers,
             fleet,
             document,
             queues,
             fill_event_due,
             ..
         } = &mut *state;
-        let Some(controller) = fill_controllers.get_mut(unit) else {
+        let Some(controller) = controllers.get_mut(unit) else {
             // Created when the stream was placed.
             return;
         };
@@ -216,12 +214,7 @@
     pub(crate) fn fill_and_queue(&self, service: &str) -> (Option<f64>, usize) {
         let state = self.state();
         let units = state.fleet.units_of(service).into_iter();
-        let limits = units.filter_map(|u| {
-            state
-                .fill_controllers
-                .get(u)
-                .map(FillController::fill_limit)
-        });
+        let limits = units.filter_map(|u| state.controllers.get(u).map(FillController::fill_limit));
         let limit = limits.reduce(f64::max);
         (limit, state.queues.get(service).map_or(0, Queue::len))
     }
--- a/crates/gateway/src/sources.rs
+++ b/crates/gateway/src/sources.rs
@@ -10,16 +10,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Interval between two polls of the same coordinator: also how often it receives a sign of life
-/// from this gateway.
+/// Interval between two polls of the same coordinator: also this gateway's heartbeat interval.
 const POLL_PERIOD: Duration = Duration::from_millis(800);
 /// Minimum interval between two polls, however many coordinators there are.
 const MIN_INTERVAL: Duration = Duration::from_millis(100);
 /// Unanswered polls after which a link is considered dead: 1.6 s.
 const MAX_UNANSWERED: u32 = 2;
-/// Coordinators that send a gateway the registrations of backend servers. What one of them misses,
-/// the other receives; if all sent them, each change would arrive as often as there are
-/// coordinators.
+/// Coordinators that send a gateway registrations. What one of them misses, the other receives; if
+/// all sent them, each change would arrive as often as there are coordinators.
 const SUBSCRIPTIONS: usize = 2;
 /// Unanswered polls after which a coordinator that is no longer a member is evicted.
 const EVICT_UNANSWERED: u32 = 4 * MAX_UNANSWERED;
@@ -103,8 +101,7 @@
         (POLL_PERIOD / count).max(MIN_INTERVAL)
     }
 
-    /// The coordinator to poll next. One that is newly subscribed to goes first: until it is
-    /// polled, its registrations are not sent.
+    /// The next to poll. A new subscription goes first: until polled, it sends no registrations.
     pub fn next_poll(&mut self) -> Option<SocketAddr> {
         let subscribed = |a: &SocketAddr| self.sources.get(a).is_some_and(|s| s.subscribed);
         if let Some(new) = self.subscriptions().into_iter().find(|a| !subscribed(a)) {
@@ -153,8 +150,7 @@
         }
     }
 
-    /// Records an update of a coordinator. Cursors belong to one incarnation, and to changes
-    /// without a gap.
+    /// Records an update. Cursors belong to one incarnation, and to changes without a gap.
     pub fn on_update(&mut self, inbox: SocketAddr, range: UpdateRange) -> Receipt {
         let source = self.sources.entry(inbox).or_default();
         let regained = source.unanswered > MAX_UNANSWERED;
@@ -185,8 +181,7 @@
         }
     }
 
-    /// Sets the member coordinators. Silent ones that are no longer members are no longer polled,
-    /// except seeds.
+    /// Sets the members. Silent coordinators that are no longer members are evicted, except seeds.
     pub fn set_members(&mut self, members: &[SocketAddr]) {
         let seeds = &self.seeds;
         let silent = |s: &Source| s.unanswered > EVICT_UNANSWERED;
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -89,7 +89,7 @@
 /// Where a stream's body comes from: held for as long as it is read.
 struct StreamSource {
     connection: bn_serve::client::Connection,
-    reservation: crate::attempt::SlotReservation,
+    reservation: crate::attempt::Reservation,
     idle_timeout: Option<Duration>,
 }
 
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -23,8 +23,7 @@
 /// Why a request is not sent any more.
 pub(crate) const QUARANTINED: &str = "backend servers ended under this request";
 /// Why a suspect has to wait.
-const TRIAL_ELSEWHERE: &str =
-    "backend servers ended under this request, and it is being tried elsewhere";
+const ON_TRIAL: &str = "backend servers ended under this request, and it is being tried elsewhere";
 
 /// What the link reports to the coordinators.
 #[derive(Debug)]
@@ -119,14 +118,14 @@
         CaseStatus::Suspect => {}
     }
     let digest = ctx.digest();
-    let (reply, granted_reply) = oneshot::channel();
+    let (reply, answer) = oneshot::channel();
     shared.report(Report::TrialRequest(
         digest,
         ctx.remaining(shared.now()),
         reply,
     ));
     let granted = matches!(
-        tokio::time::timeout(TRIAL_TIMEOUT, granted_reply).await,
+        tokio::time::timeout(TRIAL_TIMEOUT, answer).await,
         Ok(Ok(true))
     );
     shared.lines.put(
@@ -135,8 +134,8 @@
     );
     if !granted {
         return Err(Refusal::retryable(
-            TRIAL_ELSEWHERE,
-            placement::retry_after_for(shared, ctx),
+            ON_TRIAL,
+            placement::retry_delay(shared, ctx),
         ));
     }
     metrics::counter!("suspects_tried_total").increment(1);
@@ -178,9 +177,7 @@
         if server.is_none_or(|s| s.leaving || s.start_time != run.start.start_time) {
             return;
         }
-        state
-            .loss_tracker
-            .on_lost(now, &run.start, run.address, lost)
+        state.losses.on_lost(now, &run.start, run.address, lost)
     };
     match next {
         NextStep::Wait => {}
@@ -209,11 +206,11 @@
         let now = shared.now();
         match opened {
             Ok(connection) => {
-                shared.state().loss_tracker.on_reachable(&run.start);
+                shared.state().losses.on_reachable(&run.start);
                 shared.pool.put_back(now, connection, None);
             }
             Err(e) if e.is_connection_refused() => {
-                let termination = shared.state().loss_tracker.on_terminated(now, &run.start);
+                let termination = shared.state().losses.on_terminated(now, &run.start);
                 if let Some(termination) = termination {
                     report_termination(&shared, termination, "refused");
                 }
@@ -221,7 +218,7 @@
             }
             Err(e) => {
                 log::debug!("probing {} failed: {e}", run.start.id);
-                shared.state().loss_tracker.on_inconclusive(&run.start);
+                shared.state().losses.on_inconclusive(&run.start);
             }
         }
     });
@@ -238,7 +235,7 @@
         {
             return;
         }
-        state.reset_fill_controller(&start.id);
+        state.reset_controller(&start.id);
         state.fleet.get(&start.id).map(|s| s.address)
     };
     if let Some(address) = address {
@@ -249,8 +246,7 @@
     shared.lines.put("backend_server_fell", fields);
 }
 
-/// Reports to the coordinators that a backend server terminated; `sign` is how it was detected
-/// here.
+/// Reports to the coordinators that a backend server terminated; `sign` is what shows it here.
 pub(crate) fn report_termination(shared: &Shared, termination: Termination, sign: &str) {
     let digests: Vec<String> = termination.runs.iter().map(|(d, _)| to_text(*d)).collect();
     let sole_trial = termination.runs.iter().any(|(_, sole_trial)| *sole_trial);
