--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -94,8 +94,8 @@
         })
     }
 
-    /// Identifies the request across retries: account, method, host, path and body. Headers differ
-    /// between attempts of the same request.
+    /// Identifies the request across retries: account, method, host, path with query, and body.
+    /// Headers differ between attempts of the same request.
     pub(crate) fn digest(&self) -> Digest {
         *self.digest.get_or_init(|| {
             let account = self.account.as_deref().unwrap_or_default();
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -74,7 +74,7 @@
 /// Why there is no complete response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CollectError {
-    /// It broke off.
+    /// It broke off or is larger than `MAX_BODY_BYTES`.
     Incomplete,
     /// It is not a backend server's own: it claims success without a backend server's signature.
     Unsigned,
