--- a/crates/coordinator/src/supervise.rs
+++ b/crates/coordinator/src/supervise.rs
@@ -1,8 +1,8 @@
-//! Keeping the core running over failures of its disk.
+//! Restarts the core after a disk failure.
 
 use crate::Result;
 use crate::core::Core;
-use crate::ring::{Inlet, Ring};
+use crate::events::{EventReceiver, EventSender};
 use bn_conf::Coordinator as Conf;
 use bn_engine::Calls;
 use bn_net::Net;
@@ -11,43 +11,43 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Between two tries to open a data folder that failed.
-const DISK_PAUSE: Duration = Duration::from_millis(400);
+/// Interval between two attempts to reopen a data directory that failed.
+const RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
 /// What a core is opened with, at the start and again after its disk failed.
-pub(crate) struct Opening {
+pub(crate) struct CoreArgs {
     pub(crate) inbox: SocketAddr,
-    /// Start of the process: what is kept over a failure of the disk has times since it.
+    /// Start of the process: state that is kept over a disk failure has times relative to it.
     pub(crate) start: Instant,
     pub(crate) conf: Conf,
     pub(crate) net: Net,
     pub(crate) lines: Lines,
     pub(crate) calls: Calls,
-    pub(crate) ring: Ring,
+    pub(crate) events: EventSender,
 }
 
-/// Runs the core. A disk that is full or stalled refuses writes for a while: the process
-/// then begins again from what is on it, as after a restart, but keeps its soft state,
-/// and backend servers and gateways need not turn elsewhere for longer than that.
-pub(crate) fn supervise(mut core: Core, opening: &Opening, inlet: &Inlet) -> Result<()> {
+/// Runs the core. A disk that is full or stalled refuses writes for a while: the core then restarts
+/// from what is on disk, as after a restart of the process, but keeps its soft state, so that
+/// backend servers and gateways need not use other coordinators for longer than that.
+pub(crate) fn supervise(mut core: Core, args: &CoreArgs, receiver: &EventReceiver) -> Result<()> {
     loop {
-        match core.run(inlet) {
+        match core.run(receiver) {
             Ok(()) => return Ok(()),
             Err(crate::Error::Store { source }) => {
                 let fields = json!({ "why": source.to_string() });
-                opening.lines.put("disk_failed", fields);
+                args.lines.put("disk_failed", fields);
             }
             Err(e) => return Err(e),
         }
         let next = loop {
-            std::thread::sleep(DISK_PAUSE);
-            // Whoever waits for an answer is told that there is none now.
-            if inlet.drain() {
+            std::thread::sleep(RETRY_INTERVAL);
+            // Dropping the events signals waiting callers that there is no answer.
+            if receiver.discard_all() {
                 return Ok(());
             }
-            match Core::open(opening) {
+            match Core::open(args) {
                 Ok(next) => break next,
-                Err(e) => log::warn!("the data folder cannot be opened yet: {e}"),
+                Err(e) => log::warn!("cannot reopen the data directory, retrying: {e}"),
             }
         };
         let before = std::mem::replace(&mut core, next);
--- a/crates/node/src/verdict.rs
+++ b/crates/node/src/verdict.rs
@@ -1,13 +1,13 @@
-//! What a caller is told when there is no whole answer.
+//! What a caller receives when there is no complete answer.
 
 use std::time::Duration;
 
-/// Whether a refused request may have run. Decides every retry.
+/// Whether a refused request may have run; every retry depends on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It was not run, and will not be.
+    /// The request was not run and will not be.
     NotRun,
-    /// It may have run, or may still.
+    /// The request may have run, or may still run.
     MayHaveRun,
 }
 
@@ -21,17 +21,17 @@
     }
 }
 
-/// The final answer to a request that has no whole answer.
+/// Final response to a request without a complete answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
     /// HTTP status.
     pub status: u16,
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub verdict: Verdict,
-    /// Why.
+    /// Reason for the refusal.
     pub reason: String,
-    /// When to come back; `None`: not with this request.
-    pub retry: Option<Duration>,
+    /// Delay before a retry; `None`: this request must not be retried.
+    pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
@@ -40,7 +40,7 @@
             status,
             verdict: Verdict::NotRun,
             reason: reason.into(),
-            retry: None,
+            retry_after: None,
         }
     }
 
@@ -51,9 +51,9 @@
         }
     }
 
-    pub(crate) fn retry(self, after: Duration) -> Refusal {
+    pub(crate) fn retry_after(self, after: Duration) -> Refusal {
         Refusal {
-            retry: Some(after),
+            retry_after: Some(after),
             ..self
         }
     }
