--- a/crates/cli/tests/gateway.rs
+++ b/crates/cli/tests/gateway.rs
@@ -7,7 +7,7 @@
 mod fleet;
 
 use bn_platform::header::{
-    ACCOUNT, AT_FAULT, ATTEMPT, EXPECT, LAST_EVENT, NOT_RUN, SERVER, SIGNATURE,
+    ACCOUNT, AT_FAULT, ATTEMPT, EXPECT_SERVER, LAST_EVENT, NOT_RUN, SERVER, SIGNATURE,
 };
 use fleet::scripts::{good, head, say, slow};
 use fleet::{Backend, Fleet, Message, Script, request};
@@ -154,7 +154,7 @@
     expect_that!(seen.text(), eq("body"));
     expect_that!(seen.header(ATTEMPT), eq("id-1"));
     expect_that!(seen.header(ACCOUNT), eq("first"));
-    expect_that!(seen.header(EXPECT), eq("a"));
+    expect_that!(seen.header(EXPECT_SERVER), eq("a"));
     expect_that!(seen.header("authorization"), eq(""));
 }
 
@@ -179,7 +179,7 @@
 }
 
 fn events(request: &Message, stream: &mut TcpStream) -> bool {
-    let more = format!("{SIGNATURE}: {}\r\n", request.header(EXPECT));
+    let more = format!("{SIGNATURE}: {}\r\n", request.header(EXPECT_SERVER));
     let kind = "content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n";
     say(
         stream,
@@ -315,7 +315,7 @@
 }
 
 fn misfit(request: &Message, stream: &mut TcpStream) -> bool {
-    let own = request.header(EXPECT);
+    let own = request.header(EXPECT_SERVER);
     let more = format!("{SERVER}: {own}\r\n{AT_FAULT}: {own}\r\ncontent-length: 0\r\n");
     let head = head(request, "421 Misdirected", &more);
     say(stream, &format!("{head}\r\n"))
--- a/crates/coordinator/src/announcements.rs
+++ b/crates/coordinator/src/announcements.rs
@@ -86,7 +86,8 @@
 
     fn service_names(&self) -> IndexSet<String> {
         let document = bn_wire::unpack(&self.settled.document).map_err(|e| e.to_string());
-        let plan = document.and_then(|d| bn_platform::plan(&d).map_err(|e| e.to_string()));
+        let plan =
+            document.and_then(|d| bn_platform::parse_document(&d).map_err(|e| e.to_string()));
         match plan {
             Ok(plan) => plan.services().keys().cloned().collect(),
             Err(e) => {
--- a/crates/coordinator/src/asks.rs
+++ b/crates/coordinator/src/asks.rs
@@ -25,7 +25,7 @@
             EngineRequest::Report | EngineRequest::Poll | EngineRequest::ReportWhenCopied(_) => {
                 (engine::REPORT, None, read_report)
             }
-            EngineRequest::Counts => (engine::PICKED, None, read_counts),
+            EngineRequest::Counts => (engine::COUNTS, None, read_counts),
             EngineRequest::List => (engine::LISTS, None, read_lists),
             EngineRequest::Order(command, epoch, token) => {
                 let operation = match command {
@@ -35,7 +35,7 @@
                     other => operation(&other),
                 };
                 // An engine refuses an empty order.
-                let body = operation.map(|o| engine::order(o, epoch, token));
+                let body = operation.map(|o| engine::encode_order(o, epoch, token));
                 (engine::ORDER, Some(body.unwrap_or_default()), read_order)
             }
         }
@@ -48,7 +48,7 @@
         {
             return packed.clone();
         }
-        let packed = bn_engine::pack_places(ranks(map), &map.layers);
+        let packed = bn_engine::compress_placements(ranks(map), &map.layers);
         // A relay refuses an empty map, and its engine is then called straight.
         let packed = packed.unwrap_or_else(|e| {
             log::error!("a map: {e}");
@@ -96,7 +96,7 @@
             About::Order
         }
         EngineRequest::Order(command, epoch, token) => {
-            let body = operation(command).map(|o| engine::order(o, *epoch, *token));
+            let body = operation(command).map(|o| engine::encode_order(o, *epoch, *token));
             ask.order = body.unwrap_or_default();
             About::Held
         }
@@ -147,7 +147,7 @@
 }
 
 fn read_report(status: u16, body: &[u8]) -> Reply {
-    match (status, engine::report(body)) {
+    match (status, engine::parse_report(body)) {
         (200, Ok(r)) => Reply::Report(EngineReport {
             group: r.group,
             epoch: r.epoch,
@@ -159,7 +159,7 @@
             prepared: r.prepared,
             armed: r.armed,
             held: r.held,
-            slowdown: r.pace,
+            slowdown: r.slowdown,
             fresh: false,
             recent_counts: None,
         }),
@@ -168,14 +168,14 @@
 }
 
 fn read_counts(status: u16, body: &[u8]) -> Reply {
-    match (status, engine::counts(body)) {
+    match (status, engine::parse_counts(body)) {
         (200, Ok(c)) => Reply::Counts(c.epoch, c.counts),
         _ => Reply::Odd,
     }
 }
 
 fn read_lists(status: u16, body: &[u8]) -> Reply {
-    match (status, engine::lists(body)) {
+    match (status, engine::parse_lists(body)) {
         (200, Ok(l)) => Reply::List(l.version, l.experts),
         _ => Reply::Odd,
     }
--- a/crates/coordinator/src/carry.rs
+++ b/crates/coordinator/src/carry.rs
@@ -5,7 +5,7 @@
 use crate::core::Core;
 use crate::relays::{self, About, GroupId};
 use crate::ring::Event;
-use bn_engine::{Answer, Call, What};
+use bn_engine::{Answer, Call, CallRequest};
 use bn_group::switch_controller::{self, Command, EngineRequest, Reply, SwitchController};
 use bn_wire::messages::envelope::Body;
 use bn_wire::messages::{EngineAnswers, EngineAsks};
@@ -147,14 +147,14 @@
             let reply = answer.map_or(Reply::Silent, |(status, body)| read(status, &body));
             ring.put(Event::Called(group, number, reply));
         };
-        self.calls.put(Call {
-            what: What {
+        self.calls.submit(Call {
+            request: CallRequest {
                 address,
                 path,
                 body,
                 server: call.engine,
             },
-            done: Box::new(done),
+            on_answer: Box::new(done),
         });
     }
 
--- a/crates/coordinator/src/core.rs
+++ b/crates/coordinator/src/core.rs
@@ -10,7 +10,7 @@
 };
 use bn_conf::{Coordinator as Conf, Settings};
 use bn_directory::Directory;
-use bn_engine::Calls;
+use bn_engine::EngineClient;
 use bn_net::{Net, Usage};
 use bn_quorum::{
     Entry, Membership, Message, Output, Payload, Replica, ReplicaConfig, Role, Timing,
@@ -66,7 +66,7 @@
     pub(crate) heard_of: IndexSet<SocketAddr>,
     pub(crate) groups: groups::Groups,
     pub(crate) cases: cases::Cases,
-    pub(crate) calls: Calls,
+    pub(crate) calls: EngineClient,
     pub(crate) relays: relays::Relays,
     pub(crate) ring: Ring,
     usage: Usage,
@@ -101,7 +101,7 @@
         conf: conf.clone(),
         net,
         lines,
-        calls: Calls::start().context(CallsSnafu)?,
+        calls: EngineClient::start().context(CallsSnafu)?,
         ring: ring.clone(),
     };
     let core = Core::open(&opening)?;
--- a/crates/coordinator/src/groups.rs
+++ b/crates/coordinator/src/groups.rs
@@ -197,7 +197,7 @@
             Ok(document) => document,
             Err(e) => return log::error!("document {}: {e}", self.settled.version),
         };
-        match bn_platform::plan(&document) {
+        match bn_platform::parse_document(&document) {
             Ok(plan) => self.groups.shapes = shapes(&plan),
             // It was checked before it was settled, so this is a fault of ours.
             Err(e) => log::error!("document {} does not hold: {e}", self.settled.version),
--- a/crates/coordinator/src/http.rs
+++ b/crates/coordinator/src/http.rs
@@ -48,8 +48,8 @@
             let left = ask(ring, |done| Event::Leave(id, done)).await;
             done_or_busy(left.is_some())
         }
-        Call::Settle => settle(ring, body.to_vec()).await,
-        Call::Read => match ask(ring, Event::Read).await.flatten() {
+        Call::PutDocument => settle(ring, body.to_vec()).await,
+        Call::GetDocument => match ask(ring, Event::Read).await.flatten() {
             Some(packed) => match bn_wire::unpack(&packed) {
                 Ok(document) => text(200, JSON, document),
                 Err(e) => fault(500, &format!("the document cannot be unpacked: {e}")),
@@ -65,11 +65,15 @@
     if addresses.is_empty() {
         return fault(503, "no gateway is known");
     }
-    text(200, JSON, bn_platform::addresses(&addresses, ANSWER_TTL))
+    text(
+        200,
+        JSON,
+        bn_platform::encode_addresses(&addresses, ANSWER_TTL),
+    )
 }
 
 async fn announce(ring: &Ring, id: &str, body: &[u8]) -> Response<Body> {
-    match bn_platform::announcement(id, body) {
+    match bn_platform::parse_announcement(id, body) {
         Ok(record) => {
             let taken = ask(ring, |done| Event::Announce(record, done)).await;
             match taken {
@@ -86,7 +90,7 @@
 
 /// What is invalid is refused whatever its version; only then versions are compared.
 async fn settle(ring: &Ring, document: Vec<u8>) -> Response<Body> {
-    let plan = match bn_platform::plan(&document) {
+    let plan = match bn_platform::parse_document(&document) {
         Ok(plan) => Box::new(plan),
         Err(e) => {
             log::info!("a document was refused: {e}");
--- a/crates/coordinator/src/supervise.rs
+++ b/crates/coordinator/src/supervise.rs
@@ -4,7 +4,7 @@
 use crate::core::Core;
 use crate::ring::{Inlet, Ring};
 use bn_conf::Coordinator as Conf;
-use bn_engine::Calls;
+use bn_engine::EngineClient;
 use bn_net::Net;
 use bn_trace::Lines;
 use serde_json::json;
@@ -22,7 +22,7 @@
     pub(crate) conf: Conf,
     pub(crate) net: Net,
     pub(crate) lines: Lines,
-    pub(crate) calls: Calls,
+    pub(crate) calls: EngineClient,
     pub(crate) ring: Ring,
 }
 
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to backend servers, on a thread of their own: the core goes on meanwhile.
+//! HTTP calls to backend servers on a separate thread, so that the core is not blocked.
 
 use bn_serve::client::{self, Pool};
 use http_body_util::{BodyExt, Full, Limited};
@@ -11,53 +11,52 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Semaphore, mpsc};
 
-/// Calls that wait for the thread.
-const RING: usize = 1024;
-/// A call without an answer by then counts as unanswered. Answers take milliseconds, some
-/// tens on a busy instance; an order whose answer is lost must be followed up at once,
-/// since the group may stand still meanwhile.
+/// Capacity of the queue of calls to the thread.
+const QUEUE_CAPACITY: usize = 1024;
+/// Timeout of a call. Answers take milliseconds, some tens on a busy instance; an order whose
+/// answer is lost must be retried at once, since the group may be stalled meanwhile.
 const TIMEOUT: Duration = Duration::from_millis(120);
-/// Calls under way at once. The time for an answer begins with the call: of some hundred that
-/// begin together on a small share of a core most run out of it before their connections stand, are
-/// repeated, and run out again.
-const AT_ONCE: usize = 24;
-/// A call that fails counts as unanswered only after this time. A refused connection shows
-/// at once, and repeating the call without a pause would take the processor.
-const LEAST_FAILED: Duration = Duration::from_millis(30);
-/// Largest answer taken.
-const LARGEST: usize = 1 << 20;
+/// Limit of concurrent calls. The timeout starts with the call: of some hundred calls started
+/// together on a small share of a core, most time out before their connections are open, are
+/// retried, and time out again.
+const MAX_CONCURRENT: usize = 24;
+/// Least time until a failed call is reported as unanswered. A refused connection fails at once,
+/// and retrying the call without a delay would use up the processor.
+const MIN_FAILURE_TIME: Duration = Duration::from_millis(30);
+/// Largest answer body accepted, in bytes.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// Status and body; none where no answer came.
+/// Status and body; `None` if no answer was received.
 pub type Answer = Option<(u16, Bytes)>;
 
-/// One call.
+/// A call and the callback for its answer.
 pub struct Call {
-    /// What is asked, and whom.
-    pub what: What,
-    /// Gets the answer.
-    pub done: Box<dyn FnOnce(Answer) + Send>,
+    /// The request to send.
+    pub request: CallRequest,
+    /// Called with the answer.
+    pub on_answer: Box<dyn FnOnce(Answer) + Send>,
 }
 
-/// What is asked, and whom.
-pub struct What {
+/// A request to an engine.
+pub struct CallRequest {
     /// The engine's address.
     pub address: SocketAddr,
     /// Path of the call.
     pub path: &'static str,
-    /// Body of an order; none: a question.
+    /// Body of an order, sent by POST; `None` for a query, sent by GET.
     pub body: Option<Vec<u8>>,
-    /// Backend server that alone may take it.
+    /// The only backend server that may accept the request.
     pub server: String,
 }
 
-/// The thread's ring.
+/// Queues calls for the thread that makes them.
 #[derive(Clone)]
-pub struct Calls(mpsc::Sender<Call>);
+pub struct EngineClient(mpsc::Sender<Call>);
 
-impl Calls {
+impl EngineClient {
     /// Starts the thread.
-    pub fn start() -> io::Result<Calls> {
-        let (ring, mut waiting) = mpsc::channel::<Call>(RING);
+    pub fn start() -> io::Result<EngineClient> {
+        let (sender, mut queue) = mpsc::channel::<Call>(QUEUE_CAPACITY);
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
@@ -67,64 +66,70 @@
             .spawn(move || {
                 runtime.block_on(async move {
                     let pool = Arc::new(Pool::default());
-                    let places = Arc::new(Semaphore::new(AT_ONCE));
-                    while let Some(call) = waiting.recv().await {
-                        // It is never closed.
-                        let Ok(place) = places.clone().acquire_owned().await else {
+                    let permits = Arc::new(Semaphore::new(MAX_CONCURRENT));
+                    while let Some(call) = queue.recv().await {
+                        // The semaphore is never closed.
+                        let Ok(permit) = permits.clone().acquire_owned().await else {
                             return;
                         };
                         pool.sweep(start.elapsed());
                         let pool = pool.clone();
                         tokio::spawn(async move {
-                            let _place = place;
-                            let Call { what, done } = call;
-                            let began = tokio::time::Instant::now();
-                            let asked = ask(&pool, start, &what);
-                            let answer = tokio::time::timeout(TIMEOUT, asked).await;
+                            let _permit = permit;
+                            let Call { request, on_answer } = call;
+                            let start_time = tokio::time::Instant::now();
+                            let exchange = send(&pool, start, &request);
+                            let answer = tokio::time::timeout(TIMEOUT, exchange).await;
                             let answer = answer.ok().flatten();
                             if answer.is_none() {
-                                tokio::time::sleep_until(began + LEAST_FAILED).await;
+                                tokio::time::sleep_until(start_time + MIN_FAILURE_TIME).await;
                             }
-                            done(answer);
+                            on_answer(answer);
                         });
                     }
                 });
             })?;
-        Ok(Calls(ring))
+        Ok(EngineClient(sender))
     }
 
-    /// Queues a call; where the ring is full it counts as unanswered.
-    pub fn put(&self, call: Call) {
+    /// Queues a call; reports it as unanswered if the queue is full.
+    pub fn submit(&self, call: Call) {
         if let Err(e) = self.0.try_send(call) {
             metrics::counter!("ring_lost_total").increment(1);
             let (mpsc::error::TrySendError::Full(call) | mpsc::error::TrySendError::Closed(call)) =
                 e;
-            (call.done)(None);
+            (call.on_answer)(None);
         }
     }
 }
 
-pub(crate) async fn ask(pool: &Pool, start: Instant, what: &What) -> Answer {
-    let idle = pool.idle(start.elapsed(), what.address);
+pub(crate) async fn send(pool: &Pool, start: Instant, request: &CallRequest) -> Answer {
+    let idle = pool.idle(start.elapsed(), request.address);
     let mut connection = match idle {
         Some(connection) => connection,
-        None => client::open(what.address).await.ok()?,
+        None => client::open(request.address).await.ok()?,
     };
-    let answer = connection.sender.send_request(request(what)).await.ok()?;
+    let answer = connection
+        .sender
+        .send_request(http_request(request))
+        .await
+        .ok()?;
     let status = answer.status().as_u16();
-    let body = Limited::new(answer.into_body(), LARGEST).collect().await;
+    let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES)
+        .collect()
+        .await;
     let body = body.ok()?.to_bytes();
     pool.keep(start.elapsed(), connection, None);
     Some((status, body))
 }
 
-fn request(what: &What) -> Request<Full<Bytes>> {
-    let body = what.body.clone().unwrap_or_default();
+fn http_request(call: &CallRequest) -> Request<Full<Bytes>> {
+    let body = call.body.clone().unwrap_or_default();
     let mut request = Request::new(Full::new(Bytes::from(body)));
-    if what.body.is_some() {
+    if call.body.is_some() {
         *request.method_mut() = Method::POST;
     }
-    if let Ok(uri) = what.path.parse() {
+    if let Ok(uri) = call.path.parse() {
         *request.uri_mut() = uri;
     }
     let headers = request.headers_mut();
@@ -133,9 +138,9 @@
             headers.insert(name, value);
         }
     };
-    set(HOST, &what.address.to_string());
+    set(HOST, &call.address.to_string());
     set(CONTENT_TYPE, "application/json");
-    let expect = HeaderName::from_static(bn_platform::header::EXPECT);
-    set(expect, &what.server);
+    let expect = HeaderName::from_static(bn_platform::header::EXPECT_SERVER);
+    set(expect, &call.server);
     request
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,35 +1,34 @@
-//! Calls to engines of lock-step groups: looks at them and orders to them, over HTTP
-//! ([`Calls`]), and the relay, a process beside an engine that makes such calls for a
-//! coordinator ([`start`]).
+//! Calls to engines of lock-step groups: polls and orders over HTTP ([`EngineClient`]), and the
+//! relay, a process beside an engine that makes such calls for a coordinator ([`start`]).
 
 mod calls;
-mod others;
-mod places;
+mod forward;
+mod placements;
 mod relay;
 
-pub use calls::{Answer, Call, Calls, What};
-pub use places::{pack_places, unpack_places};
+pub use calls::{Answer, Call, CallRequest, EngineClient};
+pub use placements::{compress_placements, decompress_placements};
 pub use relay::{Handle, start};
 
 use snafu::Snafu;
 
-/// Why a relay could not start.
+/// Error in starting a relay.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
     /// The inbox could not be opened.
     #[snafu(display("{source}"), context(false))]
     Net {
-        /// What the links said.
+        /// Error of the link layer.
         source: bn_net::Error,
     },
-    /// The thread could not be made.
-    #[snafu(display("the relay's thread: {source}"))]
+    /// The runtime of the relay's thread could not be created.
+    #[snafu(display("cannot create the relay's runtime: {source}"))]
     Runtime {
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// Result of starting.
+/// Result of starting a relay.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
--- a/crates/engine/src/relay.rs
+++ b/crates/engine/src/relay.rs
@@ -1,13 +1,13 @@
-//! The relay: beside an engine, where its report is fresh and counts and orders cost
-//! nothing, it looks at the engine and hands it orders for whichever coordinator asks.
+//! The relay: a process beside an engine, where reports are fresh and counts and orders are cheap.
+//! It polls the engine and delivers orders to it on behalf of any coordinator.
 //!
-//! It decides nothing, and keeps nothing but the counts of its last look. It may die, freeze, or deliver an order late, as
-//! any link may: orders carry the group's epoch and a fencing token, and a coordinator
-//! that hears nothing turns to the engine itself.
+//! It decides nothing, and its only state is the counts of its last poll. It may crash, freeze or
+//! deliver an order late, as any link may: orders carry the group's epoch and a fencing token, and a
+//! coordinator that gets no answer calls the engine itself.
 
-use crate::calls::{Answer, What, ask};
-use crate::others::Others;
-use crate::places::unpack_places;
+use crate::calls::{Answer, CallRequest, send};
+use crate::forward::Forwarder;
+use crate::placements::decompress_placements;
 use crate::{Result, RuntimeSnafu};
 use bn_conf::{Relay as Conf, Settings};
 use bn_net::{Net, Usage};
@@ -27,14 +27,14 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
 
-/// Asks that wait for the thread.
-const RING: usize = 256;
-/// An engine on the same machine answers within a millisecond; one whose answer is lost
-/// must be asked again before a held group makes its streams late.
+/// Capacity of the queue of messages to the thread.
+const QUEUE_CAPACITY: usize = 256;
+/// An engine on the same machine answers within a millisecond; if its answer is lost, the call
+/// must be retried before a held group makes its streams late.
 pub(crate) const TIMEOUT: Duration = Duration::from_millis(60);
-/// Between two looks whether copies are complete: a quarter of a pass.
-const COPY_LOOK: Duration = Duration::from_millis(15);
-/// Longest wait for copies under one ask. The asker gives up later than this.
+/// Interval of polls for complete copies: a quarter of a pass.
+const COPY_POLL_INTERVAL: Duration = Duration::from_millis(15);
+/// Longest wait for copies in one request. The requester's timeout is longer than this.
 pub(crate) const COPY_WAIT: Duration = Duration::from_millis(400);
 
 /// A running relay.
@@ -44,7 +44,7 @@
 }
 
 impl Handle {
-    /// What ends it. Nothing is in flight here that a caller waits for.
+    /// Returns a function that stops the relay. No caller waits for anything in flight here.
     pub fn stopper(&self) -> impl Fn() + Send + Sync + 'static {
         let stop = self.stop.clone();
         move || {
@@ -52,23 +52,23 @@
         }
     }
 
-    /// Waits for the end.
+    /// Waits until the relay's thread has terminated.
     pub fn wait(self) -> std::result::Result<(), String> {
-        let ended = self.thread.join();
-        ended.map_err(|_| "the relay's thread failed".into())
+        let joined = self.thread.join();
+        joined.map_err(|_| "the relay's thread panicked".into())
     }
 }
 
-/// Starts a relay on its own thread.
+/// Starts a relay on a separate thread.
 pub fn start(settings: &Settings, conf: &Conf, lines: Lines) -> Result<Handle> {
-    let (sink, inbox) = mpsc::channel(RING);
-    let put = move |envelope| sink.try_send(envelope).is_ok();
+    let (sink, inbox) = mpsc::channel(QUEUE_CAPACITY);
+    let deliver = move |envelope| sink.try_send(envelope).is_ok();
     let net = Net::begin(
         Role::Relay,
         &settings.id,
         settings.inbox,
         settings.listen,
-        put,
+        deliver,
     )?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -82,8 +82,8 @@
         net,
         lines,
         pool: Pool::default(),
-        others: Others::default(),
-        counted: Mutex::default(),
+        forwarder: Forwarder::default(),
+        last_counts: Mutex::default(),
     };
     let thread = std::thread::spawn(move || {
         runtime.block_on(Arc::new(relay).run(inbox, stopped));
@@ -98,13 +98,13 @@
     net: Net,
     lines: Lines,
     pool: Pool,
-    others: Others,
-    counted: Mutex<Counted>,
+    forwarder: Forwarder,
+    last_counts: Mutex<LastCounts>,
 }
 
-/// Counts at the last look, and the forming of the group that they are of.
+/// Counts at the last poll, with the group's epoch at that time.
 #[derive(Default)]
-struct Counted {
+struct LastCounts {
     epoch: u64,
     counts: Vec<u64>,
 }
@@ -123,38 +123,41 @@
             };
             let queues = || json!({ "inbox": inbox.len() });
             usage.note(self.start.elapsed(), &self.net, &self.lines, queues);
-            let Ok(asker) = envelope.inbox.parse::<SocketAddr>() else {
+            let Ok(requester) = envelope.inbox.parse::<SocketAddr>() else {
                 continue;
             };
             match envelope.body {
-                Some(Body::EngineAsks(asks)) => {
+                Some(Body::EngineAsks(requests)) => {
                     self.pool.sweep(self.start.elapsed());
                     let relay = self.clone();
-                    // On its own: an order must not wait for one that is never answered.
+                    // A separate task: an order must not wait for one that is never answered.
                     tokio::spawn(async move {
-                        let answers = relay.clone().serve_all(asks).await;
-                        relay.net.send(asker, Body::EngineAnswers(answers));
+                        let answers = relay.clone().serve_all(requests).await;
+                        relay.net.send(requester, Body::EngineAnswers(answers));
                     });
                 }
-                Some(Body::EngineAnswers(answers)) => self.others.answered(answers),
+                Some(Body::EngineAnswers(answers)) => self.forwarder.on_answers(answers),
                 _ => {}
             }
         }
     }
 
-    /// Answers what is for this relay, and has the rest answered by the others.
-    async fn serve_all(self: Arc<Relay>, asks: EngineAsks) -> EngineAnswers {
-        let EngineAsks { asks, map } = asks;
+    /// Serves the requests for this relay and forwards the others; returns all answers together.
+    async fn serve_all(self: Arc<Relay>, requests: EngineAsks) -> EngineAnswers {
+        let EngineAsks { asks, map } = requests;
         let map: Arc<[u8]> = map.into();
         let mut parts = JoinSet::new();
-        for ask in asks {
+        for request in asks {
             let (relay, map) = (self.clone(), map.clone());
             parts.spawn(async move {
-                match ask.relay.parse() {
-                    Ok(other) if other != relay.inbox => {
-                        relay.others.ask(&relay.net, other, ask, &map).await
+                match request.relay.parse() {
+                    Ok(peer) if peer != relay.inbox => {
+                        relay
+                            .forwarder
+                            .forward(&relay.net, peer, request, &map)
+                            .await
                     }
-                    _ => relay.serve(ask, &map).await,
+                    _ => relay.serve(request, &map).await,
                 }
             });
         }
@@ -162,17 +165,17 @@
         while let Some(part) = parts.join_next().await {
             match part {
                 Ok(part) => merge(&mut all, part),
-                Err(e) => log::error!("an ask was not served: {e}"),
+                Err(e) => log::error!("a request's task failed: {e}"),
             }
         }
         all
     }
 
-    async fn serve(&self, ask: EngineAsk, map: &[u8]) -> EngineAnswers {
-        let call = ask.call;
-        let (answer, counts) = match body(&ask, map) {
-            Some(order) => (self.order(&ask, order).await, Vec::new()),
-            None => self.look(&ask).await,
+    async fn serve(&self, request: EngineAsk, map: &[u8]) -> EngineAnswers {
+        let call = request.call;
+        let (answer, counts) = match order_body(&request, map) {
+            Some(order) => (self.order(&request, order).await, Vec::new()),
+            None => self.poll(&request).await,
         };
         EngineAnswers {
             answers: vec![EngineAnswer { call, ..answer }],
@@ -180,10 +183,10 @@
         }
     }
 
-    async fn order(&self, ask: &EngineAsk, order: Vec<u8>) -> EngineAnswer {
-        let answer = self.call(engine::ORDER, Some(order), &ask.engine).await;
+    async fn order(&self, request: &EngineAsk, order: Vec<u8>) -> EngineAnswer {
+        let answer = self.call(engine::ORDER, Some(order), &request.engine).await;
         let status = answer.map_or(0, |(status, _)| u32::from(status));
-        let fields = json!({ "engine": ask.engine, "call": ask.call, "status": status });
+        let fields = json!({ "engine": request.engine, "call": request.call, "status": status });
         self.lines.put("order_handed_over", fields);
         EngineAnswer {
             status,
@@ -191,18 +194,20 @@
         }
     }
 
-    async fn look(&self, ask: &EngineAsk) -> (EngineAnswer, Vec<u64>) {
+    async fn poll(&self, request: &EngineAsk) -> (EngineAnswer, Vec<u64>) {
         let until = self.start.elapsed() + COPY_WAIT;
         let (status, view) = loop {
-            let (status, view) = self.report(&ask.engine).await;
-            let copied = view.as_ref().is_none_or(|v| v.prepared == Some(ask.copied));
-            if ask.copied == 0 || copied || self.start.elapsed() >= until {
+            let (status, view) = self.report(&request.engine).await;
+            let copied = view
+                .as_ref()
+                .is_none_or(|v| v.prepared == Some(request.copied));
+            if request.copied == 0 || copied || self.start.elapsed() >= until {
                 break (status, view);
             }
-            tokio::time::sleep(COPY_LOOK).await;
+            tokio::time::sleep(COPY_POLL_INTERVAL).await;
         };
-        let counts = match ask.counts && view.is_some() {
-            true => self.counts(&ask.engine).await,
+        let counts = match request.counts && view.is_some() {
+            true => self.counts(&request.engine).await,
             false => Vec::new(),
         };
         let answer = EngineAnswer {
@@ -217,10 +222,10 @@
         let Some((status, body)) = self.call(engine::REPORT, None, server).await else {
             return (0, None);
         };
-        let view = match (status, engine::report(&body)) {
-            (200, Ok(report)) => Some(view(report)),
+        let view = match (status, engine::parse_report(&body)) {
+            (200, Ok(report)) => Some(to_view(report)),
             (200, Err(e)) => {
-                log::warn!("a report of {server}: {e}");
+                log::warn!("invalid report of {server}: {e}");
                 None
             }
             _ => None,
@@ -228,66 +233,71 @@
         (u32::from(status), view)
     }
 
-    /// How often experts were chosen since the last look; none where that is not known.
+    /// How often each expert was chosen since the last poll; empty if that is not known.
     async fn counts(&self, server: &str) -> Vec<u64> {
-        let answer = self.call(engine::PICKED, None, server).await;
+        let answer = self.call(engine::COUNTS, None, server).await;
         let Some((200, body)) = answer else {
             return Vec::new();
         };
-        match engine::counts(&body) {
-            Ok(counts) => self.since_last(counts),
+        match engine::parse_counts(&body) {
+            Ok(counts) => self.increase(counts),
             Err(e) => {
-                log::warn!("counts of {server}: {e}");
+                log::warn!("invalid counts of {server}: {e}");
                 Vec::new()
             }
         }
     }
 
-    fn since_last(&self, now: engine::Counts) -> Vec<u64> {
+    fn increase(&self, now: engine::Counts) -> Vec<u64> {
         let engine::Counts { epoch, counts } = now;
-        let mut last = self.counted.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut last = self
+            .last_counts
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         let comparable = last.epoch == epoch && last.counts.len() == counts.len();
-        let since = match comparable {
+        let pairs = match comparable {
             true => counts.iter().zip(&last.counts),
-            // The engine or its group is another one: what it chose of late is not known.
+            // The engine or its group has restarted, so its recent counts are not known.
             false => [].iter().zip(&[]),
         };
-        let since = since.map(|(new, old)| new.saturating_sub(*old)).collect();
-        *last = Counted { epoch, counts };
-        since
+        let increase = pairs.map(|(new, old)| new.saturating_sub(*old)).collect();
+        *last = LastCounts { epoch, counts };
+        increase
     }
 
     async fn call(&self, path: &'static str, body: Option<Vec<u8>>, server: &str) -> Answer {
-        let what = What {
+        let request = CallRequest {
             address: self.engine,
             path,
             body,
             server: server.into(),
         };
-        let asked = ask(&self.pool, self.start, &what);
-        tokio::time::timeout(TIMEOUT, asked).await.ok().flatten()
+        let exchange = send(&self.pool, self.start, &request);
+        tokio::time::timeout(TIMEOUT, exchange).await.ok().flatten()
     }
 }
 
-/// Body of the order that an ask holds, if it holds one.
-fn body(ask: &EngineAsk, map: &[u8]) -> Option<Vec<u8>> {
-    let Some(prepare) = &ask.prepare else {
-        return (!ask.order.is_empty()).then(|| ask.order.clone());
+/// Body of a request's order, if it has one.
+fn order_body(request: &EngineAsk, map: &[u8]) -> Option<Vec<u8>> {
+    let Some(prepare) = &request.prepare else {
+        return (!request.order.is_empty()).then(|| request.order.clone());
     };
-    // An engine refuses an empty order, and the asker sees that.
-    let map = unpack_places(map)
-        .map_err(|e| log::warn!("a map: {e}"))
+    // An invalid map gives an empty order: the engine refuses it, and the requester is told so.
+    let map = decompress_placements(map)
+        .map_err(|e| log::warn!("invalid map: {e}"))
         .ok();
     let map = map.and_then(|map| {
         RankedMap::new(&map)
-            .map_err(|e| log::warn!("a map: {e}"))
+            .map_err(|e| log::warn!("invalid map: {e}"))
             .ok()
     });
     let operation = map.map(|map| Operation::Prepare {
         version: prepare.version,
         map,
     });
-    Some(operation.map_or_else(Vec::new, |o| engine::order(o, prepare.epoch, prepare.token)))
+    Some(operation.map_or_else(Vec::new, |o| {
+        engine::encode_order(o, prepare.epoch, prepare.token)
+    }))
 }
 
 fn merge(all: &mut EngineAnswers, part: EngineAnswers) {
@@ -300,7 +310,7 @@
     pairs.for_each(|(sum, more)| *sum += more);
 }
 
-fn view(report: engine::Report) -> EngineView {
+fn to_view(report: engine::Report) -> EngineView {
     EngineView {
         group: report.group,
         epoch: report.epoch,
@@ -312,6 +322,6 @@
         prepared: report.prepared,
         armed: report.armed,
         held: report.held,
-        pace: report.pace,
+        pace: report.slowdown,
     }
 }
--- a/crates/engine/tests/places.rs
+++ b/crates/engine/tests/places.rs
@@ -1,12 +1,12 @@
-//! Maps on their way to relays.
+//! Compression of expert maps for messages to relays.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
-use bn_engine::{pack_places, unpack_places};
+use bn_engine::{compress_placements, decompress_placements};
 use googletest::prelude::*;
 
-/// Ten sets of 384 experts on 192 ranks, of which each expert has one to three.
-fn large() -> Vec<Vec<Vec<u32>>> {
+/// Ten sets of 384 experts on 192 ranks; each expert has one to three holders.
+fn large_map() -> Vec<Vec<Vec<u32>>> {
     let holders = |n: u32| {
         (0..1 + n % 7 / 3)
             .map(move |c| (n * 97 + c * 53) % 192)
@@ -18,10 +18,10 @@
 }
 
 #[googletest::test]
-fn what_is_unpacked_is_what_was_packed() {
-    let sets = large();
+fn compressed_map_round_trips() {
+    let sets = large_map();
 
-    let ranked = unpack_places(&pack_places(192, &sets).unwrap()).unwrap();
+    let ranked = decompress_placements(&compress_placements(192, &sets).unwrap()).unwrap();
 
     expect_that!((ranked.len(), ranked[0].len()), eq((10, 192)));
     for (set, experts) in sets.iter().enumerate() {
@@ -30,24 +30,30 @@
             expect_true!(holders.iter().all(on));
         }
     }
-    let places = |sets: &[Vec<Vec<u32>>]| sets.iter().flatten().map(Vec::len).sum::<usize>();
-    expect_that!(places(&ranked), eq(places(&sets)));
+    let count = |sets: &[Vec<Vec<u32>>]| sets.iter().flatten().map(Vec::len).sum::<usize>();
+    expect_that!(count(&ranked), eq(count(&sets)));
 }
 
-/// Symptom: relays that pass a map on are taken to be silent. Sequence: 13 copies of it fill a link
-/// of 6 Mbit/s. Cause: it went in the words of the engines, 25 KB for 384 experts in 10 sets.
+/// Guards against relays that seem silent while they forward a map: in the JSON form of the engines,
+/// 25 KB for 384 experts in 10 sets, 13 copies of it filled a link of 6 Mbit/s.
 #[googletest::test]
-fn a_large_map_has_few_bytes() {
-    let packed = pack_places(192, &large()).unwrap();
+fn large_map_is_below_8_kib() {
+    let compressed = compress_placements(192, &large_map()).unwrap();
 
-    expect_that!(packed.len(), lt(8 << 10));
+    expect_that!(compressed.len(), lt(8 << 10));
 }
 
 #[googletest::test]
-fn what_is_damaged_or_too_large_is_refused() {
-    let packed = pack_places(192, &large()).unwrap();
-
-    expect_that!(unpack_places(&packed[..packed.len() / 2]), err(anything()));
-    expect_that!(unpack_places(b"[[[0]]]"), err(anything()));
-    expect_that!(pack_places(192, &[vec![vec![70_000]]]), err(anything()));
+fn invalid_or_too_large_input_is_refused() {
+    let compressed = compress_placements(192, &large_map()).unwrap();
+
+    expect_that!(
+        decompress_placements(&compressed[..compressed.len() / 2]),
+        err(anything())
+    );
+    expect_that!(decompress_placements(b"[[[0]]]"), err(anything()));
+    expect_that!(
+        compress_placements(192, &[vec![vec![70_000]]]),
+        err(anything())
+    );
 }
--- a/crates/engine/tests/relay.rs
+++ b/crates/engine/tests/relay.rs
@@ -1,11 +1,11 @@
-//! The relay between a coordinator's link and a scripted engine, on loopback.
+//! The relay between a coordinator's link and a scripted fake engine, on loopback.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
 use bn_conf::{Logging, Relay, Settings};
-use bn_engine::pack_places;
+use bn_engine::compress_placements;
 use bn_net::Net;
-use bn_platform::header::EXPECT;
+use bn_platform::header::EXPECT_SERVER;
 use bn_trace::Lines;
 use bn_wire::messages::envelope::Body;
 use bn_wire::messages::{EngineAnswer, EngineAnswers, EngineAsk, EngineAsks, PrepareOrder};
@@ -17,31 +17,31 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const WITHIN: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 const REPORT: &str = r#"{"stage":"both","group":{"name":"g","epoch":3,"rank":2,"state":"open"},
     "size":4,"step":812,"expert-map":{"version":7},"prepared":{"version":9},"pace":1.0}"#;
 
-/// What an engine answers to a path; none: it stays silent.
+/// Answer of an engine by path and number of the request; `None` for no answer.
 type Script = Box<dyn Fn(&str, usize) -> Option<(u16, &'static str)> + Send + Sync>;
 
-/// Head and body of each request that an engine got.
-type Seen = Arc<Mutex<Vec<String>>>;
+/// Head and body of each request that an engine received.
+type Received = Arc<Mutex<Vec<String>>>;
 
-fn engine(script: Script) -> (SocketAddr, Seen) {
+fn engine(script: Script) -> (SocketAddr, Received) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (seen, script): (Seen, _) = (Seen::default(), Arc::new(script));
-    let record = seen.clone();
+    let (received, script): (Received, _) = (Received::default(), Arc::new(script));
+    let record = received.clone();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let (record, script) = (record.clone(), script.clone());
-            thread::spawn(move || converse(stream, &record, &script));
+            thread::spawn(move || serve_connection(stream, &record, &script));
         }
     });
-    (address, seen)
+    (address, received)
 }
 
-fn converse(mut stream: TcpStream, record: &Seen, script: &Script) {
+fn serve_connection(mut stream: TcpStream, record: &Received, script: &Script) {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     while let Some(request) = read_request(&mut reader) {
         let number = {
@@ -51,7 +51,7 @@
         };
         let path = request.split(' ').nth(1).unwrap_or_default();
         let Some((status, body)) = script(path, number) else {
-            thread::sleep(WITHIN);
+            thread::sleep(TIMEOUT);
             return;
         };
         let length = body.len();
@@ -82,17 +82,17 @@
     listener.local_addr().unwrap()
 }
 
-/// A relay beside `engine`, and a coordinator's end of the link to it.
-struct Bed {
+/// A relay beside `engine`, and the coordinator's end of the link to it.
+struct Harness {
     relay: SocketAddr,
     net: Net,
     answers: Receiver<EngineAnswers>,
     handle: bn_engine::Handle,
 }
 
-impl Bed {
-    fn new(engine: SocketAddr) -> Bed {
-        let (relay, asker) = (free_port(), free_port());
+impl Harness {
+    fn new(engine: SocketAddr) -> Harness {
+        let (relay, requester) = (free_port(), free_port());
         let settings = Settings {
             id: "r1".into(),
             domain: "d1".into(),
@@ -115,12 +115,12 @@
         let lines = Lines::start("r1").unwrap();
         let handle = bn_engine::start(&settings, &Relay { engine }, lines).unwrap();
         let (sink, answers) = channel();
-        let net = Net::open("c1", 1, asker, asker, move |envelope| {
+        let net = Net::open("c1", 1, requester, requester, move |envelope| {
             if let Some(Body::EngineAnswers(answer)) = envelope.body {
                 sink.send(answer).unwrap_or_default();
             }
         });
-        Bed {
+        Harness {
             relay,
             net: net.unwrap(),
             answers,
@@ -128,26 +128,26 @@
         }
     }
 
-    fn ask(&self, ask: EngineAsk) {
-        self.ask_all(vec![(self.relay, ask)], &[]);
+    fn send(&self, request: EngineAsk) {
+        self.send_all(vec![(self.relay, request)], &[]);
     }
 
-    /// Asks several relays by way of this one.
-    fn ask_all(&self, asks: Vec<(SocketAddr, EngineAsk)>, map: &[u8]) {
-        let named = asks.into_iter().map(|(relay, ask)| EngineAsk {
+    /// Sends requests for several relays through this one.
+    fn send_all(&self, requests: Vec<(SocketAddr, EngineAsk)>, map: &[u8]) {
+        let addressed = requests.into_iter().map(|(relay, request)| EngineAsk {
             engine: "e1".into(),
             relay: relay.to_string(),
-            ..ask
+            ..request
         });
-        let asks = EngineAsks {
-            asks: named.collect(),
+        let requests = EngineAsks {
+            asks: addressed.collect(),
             map: map.into(),
         };
-        self.net.send(self.relay, Body::EngineAsks(asks));
+        self.net.send(self.relay, Body::EngineAsks(requests));
     }
 
     fn answers(&self) -> EngineAnswers {
-        self.answers.recv_timeout(WITHIN).expect("an answer")
+        self.answers.recv_timeout(TIMEOUT).expect("an answer")
     }
 
     fn answer(&self) -> EngineAnswer {
@@ -155,7 +155,7 @@
     }
 }
 
-fn look(call: u64) -> EngineAsk {
+fn poll(call: u64) -> EngineAsk {
     EngineAsk {
         call,
         counts: true,
@@ -171,7 +171,7 @@
     }
 }
 
-fn sound(path: &str, _: usize) -> Option<(u16, &'static str)> {
+fn answer_normally(path: &str, _: usize) -> Option<(u16, &'static str)> {
     match path.rsplit('/').next() {
         Some("report") => Some((200, REPORT)),
         Some("picked") => Some((200, r#"{"step":812,"epoch":3,"counts":[5,0,900]}"#)),
@@ -180,24 +180,24 @@
 }
 
 #[googletest::test]
-fn a_look_brings_the_report() {
-    let (engine, seen) = engine(Box::new(sound));
-    let bed = Bed::new(engine);
+fn poll_returns_the_report() {
+    let (engine, received) = engine(Box::new(answer_normally));
+    let harness = Harness::new(engine);
 
-    bed.ask(look(41));
-    let answer = bed.answer();
+    harness.send(poll(41));
+    let answer = harness.answer();
 
     let view = answer.view.unwrap();
     expect_that!((answer.call, answer.status), eq((41, 200)));
     expect_that!((view.rank, view.pass, view.map), eq((2, 812, 7)));
     expect_that!((view.prepared, view.armed), eq((Some(9), None)));
-    let expected = format!("{EXPECT}: e1");
-    let named = |r: &String| r.to_ascii_lowercase().contains(&expected);
-    expect_true!(seen.lock().unwrap().iter().all(named));
+    let expected = format!("{EXPECT_SERVER}: e1");
+    let has_server = |r: &String| r.to_ascii_lowercase().contains(&expected);
+    expect_true!(received.lock().unwrap().iter().all(has_server));
 }
 
-/// Counts that grow with each time they are asked for; the group forms anew at the third.
-fn counting(path: &str, number: usize) -> Option<(u16, &'static str)> {
+/// Counts that grow with each query; the group's epoch changes with the third.
+fn growing_counts(path: &str, number: usize) -> Option<(u16, &'static str)> {
     let counts = match number {
         0..=2 => r#"{"step":1,"epoch":3,"counts":[5,0,900]}"#,
         3..=4 => r#"{"step":2,"epoch":3,"counts":[5,4,1000]}"#,
@@ -205,151 +205,155 @@
     };
     match path.ends_with("picked") {
         true => Some((200, counts)),
-        false => sound(path, number),
+        false => answer_normally(path, number),
     }
 }
 
-/// Symptom: a map is chosen for experts that were liked an hour ago. Sequence: a relay or an
-/// engine starts anew; the counts since its start are taken for those of late. Cause: no
-/// counts to compare with, or those of another forming.
+/// Guards against a map chosen for the load of an hour ago: after a restart of a relay or an engine
+/// there were no counts to compare with, or those of another epoch, and the counts since its start
+/// were taken for recent ones.
 #[googletest::test]
-fn counts_are_told_since_the_look_before() {
-    let (engine, _) = engine(Box::new(counting));
-    let bed = Bed::new(engine);
+fn counts_are_reported_since_the_previous_poll() {
+    let (engine, _) = engine(Box::new(growing_counts));
+    let harness = Harness::new(engine);
     let counts = || {
-        bed.ask(look(1));
-        bed.answers().counts
+        harness.send(poll(1));
+        harness.answers().counts
     };
 
-    let (first, second, formed_anew) = (counts(), counts(), counts());
+    let (first, second, new_epoch) = (counts(), counts(), counts());
 
     expect_that!(first, is_empty());
     expect_that!(second, eq(&vec![0, 4, 100]));
-    expect_that!(formed_anew, is_empty());
+    expect_that!(new_epoch, is_empty());
 }
 
 #[googletest::test]
-fn one_relay_asks_the_others_and_adds_up_their_counts() {
-    let ((first, _), (second, _)) = (engine(Box::new(counting)), engine(Box::new(counting)));
-    let (bed, other) = (Bed::new(first), Bed::new(second));
-    let asks = || vec![(bed.relay, look(1)), (other.relay, look(2))];
-    bed.ask_all(asks(), &[]);
-    bed.answers();
-
-    bed.ask_all(asks(), &[]);
-    let mut all = bed.answers();
+fn relay_forwards_requests_and_sums_counts() {
+    let ((first, _), (second, _)) = (
+        engine(Box::new(growing_counts)),
+        engine(Box::new(growing_counts)),
+    );
+    let (harness, other) = (Harness::new(first), Harness::new(second));
+    let requests = || vec![(harness.relay, poll(1)), (other.relay, poll(2))];
+    harness.send_all(requests(), &[]);
+    harness.answers();
+
+    harness.send_all(requests(), &[]);
+    let mut all = harness.answers();
 
     all.answers.sort_by_key(|a| a.call);
-    let told: Vec<_> = all.answers.iter().map(|a| (a.call, a.status)).collect();
-    expect_that!(told, eq(&vec![(1, 200), (2, 200)]));
+    let statuses: Vec<_> = all.answers.iter().map(|a| (a.call, a.status)).collect();
+    expect_that!(statuses, eq(&vec![(1, 200), (2, 200)]));
     expect_that!(all.counts, eq(&vec![0, 8, 200]));
 }
 
-/// Symptom: one dead machine keeps a group from being balanced. Sequence: a relay passes
-/// asks on to others, one of which is gone. Cause: it waited for all, and said nothing.
+/// Guards against a group that is not balanced because of one failed machine: a relay that forwarded
+/// requests waited for all of the others, one of which was unreachable, and reported nothing.
 #[googletest::test]
-fn an_other_relay_that_is_gone_is_named_in_time() {
-    let (engine, _) = engine(Box::new(sound));
-    let bed = Bed::new(engine);
-    let gone = free_port();
-    let began = Instant::now();
+fn unreachable_relay_is_reported_in_time() {
+    let (engine, _) = engine(Box::new(answer_normally));
+    let harness = Harness::new(engine);
+    let unreachable = free_port();
+    let start = Instant::now();
 
-    bed.ask_all(vec![(bed.relay, look(1)), (gone, look(2))], &[]);
-    let mut all = bed.answers();
+    harness.send_all(vec![(harness.relay, poll(1)), (unreachable, poll(2))], &[]);
+    let mut all = harness.answers();
 
     all.answers.sort_by_key(|a| a.call);
-    let unheard: Vec<_> = all.answers.iter().map(|a| (a.call, a.unheard)).collect();
-    expect_that!(unheard, eq(&vec![(1, false), (2, true)]));
-    expect_that!(began.elapsed(), lt(Duration::from_secs(2)));
+    let without_contact: Vec<_> = all.answers.iter().map(|a| (a.call, a.unheard)).collect();
+    expect_that!(without_contact, eq(&vec![(1, false), (2, true)]));
+    expect_that!(start.elapsed(), lt(Duration::from_secs(2)));
 }
 
 #[googletest::test]
-fn an_order_to_prepare_gets_the_map_that_stands_beside_it() {
-    let (engine, seen) = engine(Box::new(sound));
-    let bed = Bed::new(engine);
+fn prepare_order_contains_the_map_of_the_message() {
+    let (engine, received) = engine(Box::new(answer_normally));
+    let harness = Harness::new(engine);
     let prepare = PrepareOrder {
         version: 4,
         epoch: 3,
         token: 77,
     };
-    let ask = EngineAsk {
+    let request = EngineAsk {
         call: 1,
         prepare: Some(prepare),
         ..EngineAsk::default()
     };
 
     // Expert 0 on both ranks, 1 on the second, 2 on the first.
-    let map = pack_places(2, &[vec![vec![0, 1], vec![1], vec![0]]]).unwrap();
+    let map = compress_placements(2, &[vec![vec![0, 1], vec![1], vec![0]]]).unwrap();
 
-    bed.ask_all(vec![(bed.relay, ask)], &map);
-    let answer = bed.answer();
+    harness.send_all(vec![(harness.relay, request)], &map);
+    let answer = harness.answer();
 
     expect_that!(answer.status, eq(202));
-    let seen = seen.lock().unwrap();
+    let received = received.lock().unwrap();
     for part in ["[[[0,2],[0,1]]]", "\"version\":4", "\"epoch\":3", ":77"] {
-        expect_that!(seen[0], contains_substring(part));
+        expect_that!(received[0], contains_substring(part));
     }
 }
 
 #[googletest::test]
-fn an_order_is_handed_over_once_and_its_status_comes_back() {
-    let (engine, seen) = engine(Box::new(sound));
-    let bed = Bed::new(engine);
+fn order_is_delivered_once_and_its_status_returned() {
+    let (engine, received) = engine(Box::new(answer_normally));
+    let harness = Harness::new(engine);
 
-    bed.ask(order(1));
-    let answer = bed.answer();
+    harness.send(order(1));
+    let answer = harness.answer();
 
     expect_that!((answer.call, answer.status), eq((1, 202)));
-    let seen = seen.lock().unwrap();
-    expect_that!(seen.len(), eq(1));
-    expect_that!(seen[0], ends_with("{\"operation\":\"prepare\"}"));
+    let received = received.lock().unwrap();
+    expect_that!(received.len(), eq(1));
+    expect_that!(received[0], ends_with("{\"operation\":\"prepare\"}"));
 }
 
-/// Symptom: a group stands still for seconds. Sequence: an engine leaves an order
-/// unanswered; the next one, with a higher token, waits behind it. Cause: one ask at a time.
+/// Guards against a group that stalls for seconds: requests were served one at a time, so that an
+/// order with a higher token waited behind one that the engine left unanswered.
 #[googletest::test]
-fn an_order_without_an_answer_holds_nothing_up() {
+fn unanswered_order_does_not_block_others() {
     let silent_once = |_: &str, number: usize| (number > 1).then_some((200, "{}"));
     let (engine, _) = engine(Box::new(silent_once));
-    let bed = Bed::new(engine);
-    let began = Instant::now();
+    let harness = Harness::new(engine);
+    let start = Instant::now();
 
-    bed.ask(order(1));
-    bed.ask(order(2));
-    let answers = [bed.answer(), bed.answer()].map(|a| (a.call, a.status));
+    harness.send(order(1));
+    harness.send(order(2));
+    let answers = [harness.answer(), harness.answer()].map(|a| (a.call, a.status));
 
-    // Which of the two reaches the engine first is open; one of them is answered.
+    // Either order may reach the engine first; one of them is answered.
     let mut statuses = [answers[0].1, answers[1].1];
     statuses.sort_unstable();
     expect_that!(statuses, eq([0, 200]));
-    expect_that!(began.elapsed(), lt(Duration::from_secs(2)));
+    expect_that!(start.elapsed(), lt(Duration::from_secs(2)));
 }
 
 #[googletest::test]
-fn a_look_at_copies_waits_until_they_are_complete() {
-    const YET: &str = r#"{"group":{"name":"g","epoch":3,"rank":2,"state":"open"},"size":4,
+fn poll_for_copies_waits_until_they_are_complete() {
+    const INCOMPLETE: &str = r#"{"group":{"name":"g","epoch":3,"rank":2,"state":"open"},"size":4,
         "step":812,"expert-map":{"version":7},"pace":1.0}"#;
-    let later = |_: &str, number: usize| Some((200, if number < 4 { YET } else { REPORT }));
-    let (engine, seen) = engine(Box::new(later));
-    let bed = Bed::new(engine);
+    let complete_at_fourth =
+        |_: &str, number: usize| Some((200, if number < 4 { INCOMPLETE } else { REPORT }));
+    let (engine, received) = engine(Box::new(complete_at_fourth));
+    let harness = Harness::new(engine);
 
-    bed.ask(EngineAsk {
+    harness.send(EngineAsk {
         call: 1,
         copied: 9,
         ..EngineAsk::default()
     });
-    let answer = bed.answer();
+    let answer = harness.answer();
 
     expect_that!(answer.view.unwrap().prepared, some(eq(9)));
-    expect_that!(seen.lock().unwrap().len(), eq(4));
+    expect_that!(received.lock().unwrap().len(), eq(4));
 }
 
 #[googletest::test]
-fn it_ends_when_it_is_told_to() {
-    let (engine, _) = engine(Box::new(sound));
-    let bed = Bed::new(engine);
+fn relay_stops_on_request() {
+    let (engine, _) = engine(Box::new(answer_normally));
+    let harness = Harness::new(engine);
 
-    (bed.handle.stopper())();
+    (harness.handle.stopper())();
 
-    expect_that!(bed.handle.wait(), eq(&Ok(())));
+    expect_that!(harness.handle.wait(), eq(&Ok(())));
 }
--- a/crates/fake/src/register.rs
+++ b/crates/fake/src/register.rs
@@ -26,10 +26,10 @@
         rank_version: 0,
         limit: Limit::default(),
     };
-    let url = format!("http://{control}{}", call::announcing(&fake.name));
+    let url = format!("http://{control}{}", call::announcement_path(&fake.name));
     loop {
         record.sequence += 1;
-        let sent = bn_platform::announce(&record).map_err(|e| e.to_string());
+        let sent = bn_platform::encode_announcement(&record).map_err(|e| e.to_string());
         let sent = sent.and_then(|body| ureq::put(&url).send(body).map_err(|e| e.to_string()));
         if let Err(e) = sent {
             log::debug!("announce: {e}");
--- a/crates/gateway/src/asked.rs
+++ b/crates/gateway/src/asked.rs
@@ -3,7 +3,7 @@
 use crate::shared::Shared;
 use crate::ticket::{Ticket, text};
 use bn_backpressure::{Directives, Feedback};
-use bn_platform::{asked as format, header};
+use bn_platform::{directives, header};
 use bn_registry::Record;
 use bn_route::Server;
 use hyper::Response;
@@ -79,12 +79,12 @@
 
 /// A header that comes twice counts as what asks for more.
 fn read(status: u16, headers: &HeaderMap) -> Directives {
-    let limits = values(headers, header::LIMIT, format::limit);
+    let limits = values(headers, header::LIMIT, directives::limit);
     let rests = match status {
-        503 => values(headers, header::RETRY_AFTER, format::rest),
+        503 => values(headers, header::RETRY_AFTER, directives::backoff),
         _ => Vec::new(),
     };
-    let leaving = values(headers, header::LEAVING, format::leaving);
+    let leaving = values(headers, header::LEAVING, directives::leaving);
     Directives {
         malformed: limits.contains(&None) || rests.contains(&None) || leaving.contains(&None),
         limit: limits.into_iter().flatten().reduce(f64::min),
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -156,7 +156,7 @@
 }
 
 fn tell_load(shared: &Shared, server: &Server, headers: &HeaderMap) {
-    let told = text(headers, header::LOAD).and_then(bn_platform::load);
+    let told = text(headers, header::LOAD).and_then(bn_platform::parse_load);
     if let Some(load) = told {
         let told = LoadReport {
             running: load.running,
@@ -186,8 +186,8 @@
         }
     };
     set(header::DEADLINE, &ticket.left(now).as_millis().to_string());
-    set(header::EXPECT, &server.id);
-    set(header::RANK, &ticket.rank.min(LAST_RANK).to_string());
+    set(header::EXPECT_SERVER, &server.id);
+    set(header::PRIORITY, &ticket.rank.min(LAST_RANK).to_string());
     if let Some(account) = &ticket.account {
         set(header::ACCOUNT, account);
     }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -97,7 +97,7 @@
     if addresses.is_empty() {
         return text(503, "text/plain", "no gateway is known yet\n");
     }
-    let body = bn_platform::addresses(&addresses, ANSWER_TTL);
+    let body = bn_platform::encode_addresses(&addresses, ANSWER_TTL);
     text(200, "application/json", body)
 }
 
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -255,7 +255,7 @@
             Ok(document) => document,
             Err(e) => return log::error!("document {}: {e}", news.version),
         };
-        match bn_platform::plan(&document) {
+        match bn_platform::parse_document(&document) {
             Ok(plan) => {
                 let fields = json!({ "version": plan.version(), "before": held });
                 self.shared.lines.put("document_in_force", fields);
--- a/crates/gateway/src/ticket.rs
+++ b/crates/gateway/src/ticket.rs
@@ -158,7 +158,7 @@
 /// those that the gateway sets itself.
 fn passed_on(mut headers: HeaderMap) -> HeaderMap {
     strip_hop(&mut headers);
-    for name in header::OWN {
+    for name in header::MANAGED {
         headers.remove(name);
     }
     headers.remove("content-length");
@@ -178,7 +178,7 @@
     for name in named {
         headers.remove(name);
     }
-    for name in header::HOP {
+    for name in header::HOP_BY_HOP {
         headers.remove(name);
     }
 }
