--- a/crates/cli/src/cmd/bench/load.rs
+++ b/crates/cli/src/cmd/bench/load.rs
@@ -186,7 +186,7 @@
         if !verdict.is_empty() {
             return Ok(format!("{verdict} ({status})"));
         }
-        let right = bn_fake::expected(&self.prompt, self.tokens);
+        let right = bn_fake::expected_answer(&self.prompt, self.tokens);
         Ok(if text == right.as_bytes() {
             "whole"
         } else {
--- a/crates/cli/src/cmd/demo.rs
+++ b/crates/cli/src/cmd/demo.rs
@@ -100,7 +100,7 @@
 fn probes(args: &Args) -> Vec<Probe<'_>> {
     let auth = ("authorization", format!("Bearer {}", args.key));
     let prompt = "menu board, two dishes".to_string();
-    let answer = bn_fake::expected(&prompt, TOKENS);
+    let answer = bn_fake::expected_answer(&prompt, TOKENS);
     let body = serde_json::json!({ "prompt": prompt, "tokens": TOKENS }).to_string();
     let key = uuid::Uuid::now_v7().to_string();
     let engine = |what, extra: Vec<(&'static str, String)>, status, content| Probe {
--- a/crates/cli/src/cmd/fake.rs
+++ b/crates/cli/src/cmd/fake.rs
@@ -85,13 +85,13 @@
         agent: args.agent,
         control: args.control,
         capacity: args.capacity,
-        step: Duration::from_millis(args.step_ms.max(1)),
-        lag: Duration::from_millis(args.lag_ms),
-        fences: args.fences,
-        load: Duration::from_millis(args.load_ms),
+        step_time: Duration::from_millis(args.step_ms.max(1)),
+        load_lag: Duration::from_millis(args.lag_ms),
+        checks_fences: args.fences,
+        load_time: Duration::from_millis(args.load_ms),
         record_steps: args.record_steps,
         record: args.record,
-        fatal: args.fatal,
+        fatal_text: args.fatal,
     };
     bn_fake::run(fake).context(IoSnafu { what: "fake" })
 }
--- a/crates/cli/tests/answers.rs
+++ b/crates/cli/tests/answers.rs
@@ -171,7 +171,7 @@
         script: Script,
     ) -> Scripted {
         let (first, second) = (
-            bn_fake::expected("q", TOKENS),
+            bn_fake::expected_answer("q", TOKENS),
             TOKENS / 2 * bn_fake::TOKEN_BYTES,
         );
         let (a, b) = first.split_at(second);
--- a/crates/cli/tests/bed/calls.rs
+++ b/crates/cli/tests/bed/calls.rs
@@ -68,7 +68,7 @@
         return Fate::Cut(e.to_string());
     }
     let right = match engine {
-        true => bn_fake::expected(&ask.prompt, ask.tokens),
+        true => bn_fake::expected_answer(&ask.prompt, ask.tokens),
         false => serde_json::json!({ "done": true, "echo": ask.prompt }).to_string(),
     };
     match verdict.as_deref() {
--- a/crates/fake/src/engine.rs
+++ b/crates/fake/src/engine.rs
@@ -1,5 +1,5 @@
-//! The engine: a batch that advances one token a step, a queue by priority, and a
-//! cache of prompt beginnings in limited memory.
+//! The engine: a batch that generates one token per request and step, a priority queue, and a
+//! bounded cache of prompt prefixes.
 
 use crate::record::{Line, Record};
 use indexmap::IndexSet;
@@ -9,15 +9,15 @@
 
 /// Bytes of one token in an answer.
 pub const TOKEN_BYTES: usize = 9;
-/// Prompt beginnings kept.
-const CACHE: usize = 64;
-/// Bytes of a prompt that are its beginning.
-const PREFIX: usize = 64;
-/// Steps that a prompt costs before its first token, a kilobyte.
+/// Capacity of the prefix cache.
+const CACHE_CAPACITY: usize = 64;
+/// Length of the cached prefix of a prompt, in characters.
+const PREFIX_CHARS: usize = 64;
+/// Steps before the first token, per kilobyte of a prompt whose prefix is not cached.
 const PREFILL_STEPS_PER_KB: usize = 2;
 
-/// The whole answer to a prompt, for judging what a caller got.
-pub fn expected(prompt: &str, tokens: usize) -> String {
+/// The complete answer to a prompt, to check what a caller received.
+pub fn expected_answer(prompt: &str, tokens: usize) -> String {
     (0..tokens).map(|i| token(prompt, i)).collect()
 }
 
@@ -35,16 +35,16 @@
     pub(crate) tokens: usize,
     pub(crate) priority: u32,
     pub(crate) next: usize,
-    /// Steps before its first token.
+    /// Remaining steps before its first token.
     pub(crate) prefill: usize,
     pub(crate) out: UnboundedSender<String>,
 }
 
-/// The engine's state; one call a step.
+/// State of the engine, advanced by one call of `step` per step.
 pub(crate) struct Engine {
     pub(crate) capacity: usize,
     pub(crate) batch: Vec<Job>,
-    pub(crate) waiting: Vec<Job>,
+    pub(crate) queue: Vec<Job>,
     cache: IndexSet<String>,
     pub(crate) hits: u64,
     pub(crate) step: u64,
@@ -56,7 +56,7 @@
         Engine {
             capacity,
             batch: Vec::new(),
-            waiting: Vec::new(),
+            queue: Vec::new(),
             cache: IndexSet::new(),
             hits: 0,
             step: 0,
@@ -65,38 +65,38 @@
     }
 
     pub(crate) fn add(&mut self, mut job: Job) {
-        self.note("start", &job);
-        let start: String = job.prompt.chars().take(PREFIX).collect();
-        if self.cache.contains(&start) {
+        self.record_event("start", &job);
+        let prefix: String = job.prompt.chars().take(PREFIX_CHARS).collect();
+        if self.cache.contains(&prefix) {
             self.hits += 1;
         } else {
             job.prefill = job.prompt.len() * PREFILL_STEPS_PER_KB / 1024;
-            self.cache.insert(start);
-            if self.cache.len() > CACHE {
+            self.cache.insert(prefix);
+            if self.cache.len() > CACHE_CAPACITY {
                 self.cache.shift_remove_index(0);
             }
         }
-        self.waiting.push(job);
+        self.queue.push(job);
     }
 
-    /// Tokens that are still to come.
+    /// Number of tokens still to be generated.
     pub(crate) fn tokens(&self) -> u64 {
-        let left = |j: &Job| j.tokens.saturating_sub(j.next) as u64;
-        self.batch.iter().chain(&self.waiting).map(left).sum()
+        let remaining = |j: &Job| j.tokens.saturating_sub(j.next) as u64;
+        self.batch.iter().chain(&self.queue).map(remaining).sum()
     }
 
-    /// One step: every job of the batch gets one token.
+    /// Runs one step: every job of the batch gets one token, unless it is in prefill.
     pub(crate) fn step(&mut self) {
         self.step += 1;
-        self.waiting.sort_by_key(|j| std::cmp::Reverse(j.priority));
-        let room = self
+        self.queue.sort_by_key(|j| std::cmp::Reverse(j.priority));
+        let free_slots = self
             .capacity
             .saturating_sub(self.batch.len())
-            .min(self.waiting.len());
-        self.batch.extend(self.waiting.drain(..room));
+            .min(self.queue.len());
+        self.batch.extend(self.queue.drain(..free_slots));
         for mut job in std::mem::take(&mut self.batch) {
             if job.out.is_closed() {
-                self.note("cancel", &job);
+                self.record_event("cancel", &job);
                 continue;
             }
             if job.prefill > 0 {
@@ -109,12 +109,12 @@
             if job.next < job.tokens {
                 self.batch.push(job);
             } else {
-                self.note("end", &job);
+                self.record_event("end", &job);
             }
         }
     }
 
-    fn note(&self, event: &str, job: &Job) {
+    fn record_event(&self, event: &str, job: &Job) {
         self.record.add(Line {
             event: event.into(),
             key: job.key.clone(),
--- a/crates/fake/src/handle.rs
+++ b/crates/fake/src/handle.rs
@@ -1,4 +1,4 @@
-//! Answers of a fake, and orders to it.
+//! Answers of a fake and commands to it.
 
 use crate::engine::{Job, TOKEN_BYTES};
 use crate::record::Line;
@@ -31,13 +31,13 @@
     }
 }
 
-/// Answers a request, or does as it is told.
+/// Answers a request or executes a command.
 pub(crate) async fn handle(request: Request<Incoming>, shared: &Shared) -> Response<Body> {
     let headers = request.headers().clone();
     let mut response = answer(request, shared).await;
     shared
-        .requests
-        .say(&headers, &shared.name, response.headers_mut());
+        .directives
+        .add_headers(&headers, &shared.name, response.headers_mut());
     response
 }
 
@@ -55,33 +55,33 @@
     if let Some(order) = path.strip_prefix("/orders/") {
         return shared.order(order, &body);
     }
-    if let Some(order) = path.strip_prefix("/fake/") {
-        return whole(&command(order, &body, shared));
+    if let Some(name) = path.strip_prefix("/fake/") {
+        return ok_response(&command(name, &body, shared));
     }
-    if let Some(seconds) = shared.requests.rests() {
-        return turn_away(shared, key, attempt, body, seconds);
+    if let Some(seconds) = shared.directives.remaining_backoff() {
+        return reject_request(shared, key, attempt, body, seconds);
     }
     if shared
-        .fatal
+        .fatal_text
         .as_deref()
-        .is_some_and(|mark| body.contains(mark))
+        .is_some_and(|text| body.contains(text))
     {
-        return end_under(shared, key, attempt, body).await;
+        return exit_during_request(shared, key, attempt, body).await;
     }
     match shared.kind {
         Kind::Plain => {
             let line = Line::of_request("start", key, attempt, body.clone());
             shared.record.add(line);
-            whole(&serde_json::json!({ "done": true, "echo": body }).to_string())
+            ok_response(&serde_json::json!({ "done": true, "echo": body }).to_string())
         }
         Kind::Engine => {
-            let asked: Prompt = serde_json::from_str(&body).unwrap_or_default();
+            let prompt: Prompt = serde_json::from_str(&body).unwrap_or_default();
             let (out, tokens) = unbounded_channel();
             let job = Job {
                 key,
                 attempt,
-                prompt: asked.prompt,
-                tokens: asked.tokens.max(1),
+                prompt: prompt.prompt,
+                tokens: prompt.tokens.max(1),
                 priority: priority.parse().unwrap_or(1),
                 next: resume.parse::<usize>().unwrap_or(0) / TOKEN_BYTES,
                 prefill: 0,
@@ -97,8 +97,8 @@
     }
 }
 
-/// Says that it did not run it, and for how long it wants no more.
-fn turn_away(
+/// Answers that the request was not run, with the backoff in seconds.
+fn reject_request(
     shared: &Shared,
     key: String,
     attempt: String,
@@ -107,17 +107,17 @@
 ) -> Response<Body> {
     let line = Line::of_request("turned_away", key, attempt, prompt);
     shared.record.add(line);
-    let mut response = status(503, "no more for now");
+    let mut response = error_response(503, "no more for now");
     let headers = response.headers_mut();
     headers.insert(RETRY_AFTER, HeaderValue::from(seconds));
     headers.insert(HeaderName::from_static(NOT_RUN), HeaderValue::from(1));
     response
 }
 
-/// Exit code of a fake that ended under a request.
-const FATAL: i32 = 134;
+/// Exit code of a fake that terminates during a fatal request.
+const FATAL_EXIT_CODE: i32 = 134;
 
-async fn end_under(
+async fn exit_during_request(
     shared: &Shared,
     key: String,
     attempt: String,
@@ -125,24 +125,24 @@
 ) -> Response<Body> {
     let line = Line::of_request("fatal", key, attempt, prompt);
     shared.record.add(line);
-    tokio::time::sleep(shared.step).await;
-    std::process::exit(FATAL);
+    tokio::time::sleep(shared.step_time).await;
+    std::process::exit(FATAL_EXIT_CODE);
 }
 
-/// Orders to the fake itself: read the record, or fail in some way.
-fn command(order: &str, body: &str, shared: &Shared) -> String {
-    match order {
+/// Executes a command to the fake itself: returns the record or statistics, or injects a fault.
+fn command(name: &str, body: &str, shared: &Shared) -> String {
+    match name {
         "record" => return shared.record.json(),
         "stall" => shared
             .stalled_ms
             .store(body.parse().unwrap_or(1000), Ordering::Relaxed),
         "rest" => {
             let seconds = body.parse().unwrap_or(3);
-            shared.requests.rest(Duration::from_secs(seconds));
+            shared.directives.back_off(Duration::from_secs(seconds));
         }
-        // An empty body ends it.
-        "limit" => shared.requests.limit(body.parse().ok()),
-        "say-leaving" => shared.requests.leave(),
+        // An empty body removes the limit.
+        "limit" => shared.directives.set_limit(body.parse().ok()),
+        "say-leaving" => shared.directives.set_leaving(),
         "leave" => shared.leaving.store(true, Ordering::Relaxed),
         "return" => shared.leaving.store(false, Ordering::Relaxed),
         "stats" => {
@@ -158,13 +158,13 @@
     "ok".into()
 }
 
-pub(crate) fn status(code: u16, text: &str) -> Response<Body> {
-    let mut response = whole(text);
+pub(crate) fn error_response(code: u16, text: &str) -> Response<Body> {
+    let mut response = ok_response(text);
     *response.status_mut() = hyper::StatusCode::from_u16(code).unwrap_or_default();
     response
 }
 
-pub(crate) fn whole(text: &str) -> Response<Body> {
+pub(crate) fn ok_response(text: &str) -> Response<Body> {
     Response::new(BodyExt::boxed(Full::new(Bytes::from(text.to_string()))))
 }
 
--- a/crates/fake/src/lib.rs
+++ b/crates/fake/src/lib.rs
@@ -1,16 +1,15 @@
-//! Stand-ins for backend servers: a small continuous-batching engine and a plain
-//! service. They stand at the project's interfaces and keep their own record of what
-//! ran, which is the judge in every proof.
+//! Fake backend servers: a small continuous-batching engine and a plain service. They implement the
+//! project's interfaces and keep their own record of what ran, which is the reference in every proof.
 
 mod announce;
+mod directives;
 mod engine;
 mod handle;
 mod record;
 mod register;
-mod requests;
 mod serve;
 mod steps;
 
-pub use engine::{TOKEN_BYTES, expected};
+pub use engine::{TOKEN_BYTES, expected_answer};
 pub use record::Line;
 pub use serve::{Fake, Kind, run};
--- a/crates/fake/src/record.rs
+++ b/crates/fake/src/record.rs
@@ -1,4 +1,4 @@
-//! What ran, as the fake itself saw it.
+//! Record of what the fake ran.
 
 use serde::{Deserialize, Serialize};
 use std::fs::{File, OpenOptions};
@@ -9,22 +9,22 @@
 /// One event of one request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Line {
-    /// `start`, `end`, `cancel`, `step`, `turned_away`, or `fatal`: it ends under this request.
+    /// `start`, `end`, `cancel`, `step`, `turned_away`, or `fatal` if the request terminates the fake.
     pub event: String,
-    /// Idempotency key, empty where there is none.
+    /// Idempotency key, empty if there is none.
     pub key: String,
-    /// Attempt as the agent names it.
+    /// Attempt id given by the agent.
     pub attempt: String,
     /// The prompt, or the body of a plain call.
     pub prompt: String,
-    /// Step at which it happened.
+    /// Step of the event.
     pub step: u64,
     /// Expert map in use.
     pub map: u64,
 }
 
 impl Line {
-    /// An event of a request that takes no step of an engine.
+    /// An event of a request that runs in no step of an engine.
     pub(crate) fn of_request(event: &str, key: String, attempt: String, prompt: String) -> Line {
         Line {
             event: event.into(),
@@ -37,7 +37,7 @@
     }
 }
 
-/// The record, in memory and in a file where one is given, so that it outlives a kill.
+/// The record, in memory and, if a file is given, also there, so that it survives a kill.
 #[derive(Debug, Default)]
 pub(crate) struct Record(Mutex<(Vec<Line>, Option<File>)>);
 
--- a/crates/fake/src/register.rs
+++ b/crates/fake/src/register.rs
@@ -1,4 +1,4 @@
-//! Announcing the fake to a coordinator, for gateways that send it requests themselves.
+//! Announces the fake to a coordinator, for gateways that send requests to it directly.
 
 use crate::serve::Fake;
 use bn_backpressure::Limit;
@@ -7,14 +7,14 @@
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-const EVERY: Duration = Duration::from_secs(1);
+const INTERVAL: Duration = Duration::from_secs(1);
 
-/// Announces until the process ends. A coordinator that is not there yet is asked again.
+/// Announces until the process terminates; retries while the coordinator is not reachable yet.
 pub(crate) fn run(fake: &Fake, control: SocketAddr) {
-    let began = SystemTime::now().duration_since(UNIX_EPOCH);
+    let start_time = SystemTime::now().duration_since(UNIX_EPOCH);
     let mut record = Record {
         id: fake.name.clone(),
-        start_time: began.unwrap_or_default().as_millis() as u64,
+        start_time: start_time.unwrap_or_default().as_millis() as u64,
         service: fake.service.clone(),
         address: Some(fake.listen),
         domain: String::new(),
@@ -29,11 +29,11 @@
     let url = format!("http://{control}{}", call::announcement_path(&fake.name));
     loop {
         record.sequence += 1;
-        let sent = bn_platform::encode_announcement(&record).map_err(|e| e.to_string());
-        let sent = sent.and_then(|body| ureq::put(&url).send(body).map_err(|e| e.to_string()));
-        if let Err(e) = sent {
+        let result = bn_platform::encode_announcement(&record).map_err(|e| e.to_string());
+        let result = result.and_then(|body| ureq::put(&url).send(body).map_err(|e| e.to_string()));
+        if let Err(e) = result {
             log::debug!("announce: {e}");
         }
-        std::thread::sleep(EVERY);
+        std::thread::sleep(INTERVAL);
     }
 }
--- a/crates/fake/src/serve.rs
+++ b/crates/fake/src/serve.rs
@@ -1,11 +1,11 @@
-//! HTTP around the fakes: requests, the record, and faults on command.
+//! HTTP server of the fakes: requests, the record, and fault injection by commands.
 
 use crate::announce;
+use crate::directives::Directives;
 use crate::engine::Engine;
-use crate::handle::{handle, status, whole};
+use crate::handle::{error_response, handle, ok_response};
 use crate::record::{Line, Record};
 use crate::register;
-use crate::requests::Requests;
 use crate::steps::{Order, Steps};
 use http_body_util::combinators::BoxBody;
 use hyper::Response;
@@ -21,19 +21,19 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// What a fake stands for.
+/// Kind of backend server that a fake stands in for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     /// Streams tokens.
     Engine,
-    /// Answers at once.
+    /// Answers immediately.
     Plain,
 }
 
-/// How a fake is set up.
+/// Configuration of a fake.
 #[derive(Debug, Clone)]
 pub struct Fake {
-    /// What it stands for.
+    /// Kind of backend server.
     pub kind: Kind,
     /// Its id.
     pub name: String,
@@ -43,46 +43,46 @@
     pub group: String,
     /// Its rank.
     pub rank: u32,
-    /// Where it serves.
+    /// Address at which it serves.
     pub listen: SocketAddr,
-    /// Its agent's page; none: it announces nothing.
+    /// Address of its agent's pages; `None` disables announcements to an agent.
     pub agent: Option<SocketAddr>,
-    /// Where coordinators take its announcements; none: no gateway knows it.
+    /// Address at which coordinators accept its announcements; `None`: no gateway knows it.
     pub control: Option<SocketAddr>,
-    /// Requests at once.
+    /// Maximum number of concurrent requests.
     pub capacity: u32,
-    /// Time of a step.
-    pub step: Duration,
-    /// How old its load reports are.
-    pub lag: Duration,
-    /// It refuses orders with old fencing numbers.
-    pub fences: bool,
-    /// How long it loads the weights of a map.
-    pub load: Duration,
-    /// Write each step into the record.
+    /// Duration of a step.
+    pub step_time: Duration,
+    /// Age of its load reports.
+    pub load_lag: Duration,
+    /// Whether it refuses orders with old fencing numbers.
+    pub checks_fences: bool,
+    /// Time to load the weights of a map.
+    pub load_time: Duration,
+    /// Whether each step is written to the record.
     pub record_steps: bool,
     /// File for its record.
     pub record: Option<PathBuf>,
-    /// A request whose body holds this ends the process one step after it began to run.
-    pub fatal: Option<String>,
+    /// A request whose body contains this text terminates the process one step after its start.
+    pub fatal_text: Option<String>,
 }
 
 pub(crate) struct Shared {
     pub(crate) kind: Kind,
     pub(crate) name: String,
     pub(crate) engine: Mutex<Engine>,
-    /// Only of an engine in a group.
+    /// `None` if the fake is in no group.
     pub(crate) steps: Option<Mutex<Steps>>,
-    pub(crate) load: Duration,
-    pub(crate) fences: bool,
+    pub(crate) load_time: Duration,
+    pub(crate) checks_fences: bool,
     pub(crate) record_steps: bool,
     pub(crate) record: Arc<Record>,
     pub(crate) stalled_ms: AtomicU64,
     pub(crate) leaving: AtomicBool,
-    /// What it asks of those that send it requests.
-    pub(crate) requests: Requests,
-    pub(crate) fatal: Option<String>,
-    pub(crate) step: Duration,
+    /// Directives to the senders of requests.
+    pub(crate) directives: Directives,
+    pub(crate) fatal_text: Option<String>,
+    pub(crate) step_time: Duration,
 }
 
 pub(crate) type Body = BoxBody<Bytes, Infallible>;
@@ -98,12 +98,12 @@
             .map(|s| s.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Whether the next step may run; in a group it needs a grant and a loaded map.
-    fn may_step(&self) -> bool {
+    /// Starts the next step if it may run, which in a group requires a grant and a loaded map.
+    fn start_step(&self) -> bool {
         let Some(mut steps) = self.steps() else {
             return true;
         };
-        let Some(map) = steps.may_run() else {
+        let Some(map) = steps.runnable_map() else {
             return false;
         };
         if self.record_steps {
@@ -120,24 +120,24 @@
         true
     }
 
-    /// An order of the project's to this engine.
+    /// Executes an order of the project to this engine.
     pub(crate) fn order(&self, kind: &str, body: &str) -> Response<Body> {
         let order: Result<Order, _> = serde_json::from_str(body);
         let (Some(mut steps), Ok(order)) = (self.steps(), order) else {
-            return status(400, "no such order here");
+            return error_response(400, "no such order here");
         };
-        if steps.refuses(order.fence, self.fences) {
-            return status(409, "old fencing number");
+        if steps.refuses(order.fence, self.checks_fences) {
+            return error_response(409, "old fencing number");
         }
         match kind {
-            "prepare" => steps.prepare(order.version, self.load),
-            _ => steps.grant(&order, self.load),
+            "prepare" => steps.prepare(order.version, self.load_time),
+            _ => steps.grant(&order, self.load_time),
         }
-        whole("ok")
+        ok_response("ok")
     }
 
-    /// Its place in the steps, for the announcement.
-    pub(crate) fn place(&self) -> Option<serde_json::Value> {
+    /// Progress in the steps of its group, for the announcement.
+    pub(crate) fn progress(&self) -> Option<serde_json::Value> {
         let mut steps = self.steps()?;
         let prepared = steps.prepared();
         Some(serde_json::json!({
@@ -155,36 +155,36 @@
     }
 }
 
-/// Serves until the process ends.
+/// Serves until the process terminates.
 pub fn run(fake: Fake) -> io::Result<()> {
     let record = Arc::new(Record::open(fake.record.as_deref())?);
     let shared = Arc::new(Shared {
         kind: fake.kind,
         name: fake.name.clone(),
         steps: (!fake.group.is_empty()).then(Mutex::default),
-        load: fake.load,
-        fences: fake.fences,
+        load_time: fake.load_time,
+        checks_fences: fake.checks_fences,
         record_steps: fake.record_steps,
         engine: Mutex::new(Engine::new(fake.capacity as usize, record.clone())),
         record,
         stalled_ms: AtomicU64::new(0),
         leaving: AtomicBool::new(false),
-        requests: Requests::default(),
-        fatal: fake.fatal.clone(),
-        step: fake.step,
+        directives: Directives::default(),
+        fatal_text: fake.fatal_text.clone(),
+        step_time: fake.step_time,
     });
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     runtime.block_on(async {
         let listener = tokio::net::TcpListener::bind(fake.listen).await?;
-        tokio::spawn(steps(shared.clone(), fake.step));
+        tokio::spawn(run_steps(shared.clone(), fake.step_time));
         if let Some(control) = fake.control {
             let fake = fake.clone();
             std::thread::spawn(move || register::run(&fake, control));
         }
-        let announced = shared.clone();
-        std::thread::spawn(move || announce::run(&fake, &announced));
+        let shared_state = shared.clone();
+        std::thread::spawn(move || announce::run(&fake, &shared_state));
         loop {
             let (stream, _) = listener.accept().await?;
             let _ = stream.set_nodelay(true);
@@ -202,8 +202,8 @@
     })
 }
 
-async fn steps(shared: Arc<Shared>, step: Duration) {
-    let mut timer = tokio::time::interval(step);
+async fn run_steps(shared: Arc<Shared>, step_time: Duration) {
+    let mut timer = tokio::time::interval(step_time);
     timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
     loop {
         timer.tick().await;
@@ -211,7 +211,7 @@
         if stalled > 0 {
             tokio::time::sleep(Duration::from_millis(stalled)).await;
         }
-        if shared.may_step() {
+        if shared.start_step() {
             shared.engine().step();
         }
     }
--- a/crates/fake/src/steps.rs
+++ b/crates/fake/src/steps.rs
@@ -1,11 +1,11 @@
-//! The fake's place in the steps of its group: it runs what it is granted, on the map
-//! it is told, and nothing else.
+//! The fake's progress in the steps of its group: it runs only the steps that it is granted, on the
+//! map that it is ordered to use.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// An order of the project's to an engine.
+/// An order of the project to an engine.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Order {
     pub(crate) version: u64,
@@ -24,38 +24,38 @@
     maps: BTreeMap<u64, u64>,
     prepared: u64,
     loading: Option<(u64, Instant)>,
-    /// Highest fencing number seen; only some engines look at it.
+    /// Highest fencing number received; only some engines check it.
     fence: u64,
 }
 
 impl Steps {
-    /// An engine that checks fencing numbers refuses old ones.
+    /// Whether an order is refused; an engine that checks fencing numbers refuses old ones.
     pub(crate) fn refuses(&mut self, fence: u64, checks: bool) -> bool {
         let old = checks && fence < self.fence;
         self.fence = self.fence.max(fence);
         old
     }
 
-    pub(crate) fn prepare(&mut self, version: u64, load: Duration) {
-        let under_way = self.loading.is_some_and(|(v, _)| v == version);
-        if self.prepared != version && !under_way {
-            self.loading = Some((version, Instant::now() + load));
+    pub(crate) fn prepare(&mut self, version: u64, load_time: Duration) {
+        let is_loading = self.loading.is_some_and(|(v, _)| v == version);
+        if self.prepared != version && !is_loading {
+            self.loading = Some((version, Instant::now() + load_time));
         }
     }
 
-    pub(crate) fn grant(&mut self, order: &Order, load: Duration) {
-        // A returning engine enters at the settled map, not before it.
+    pub(crate) fn grant(&mut self, order: &Order, load_time: Duration) {
+        // An engine that rejoins starts with the settled map, not before it.
         if self.maps.is_empty() {
             self.next = self.next.max(order.from);
         }
         self.maps.insert(order.version, order.from);
         self.granted = self.granted.max(order.until);
         if self.prepared < order.version {
-            self.prepare(order.version, load);
+            self.prepare(order.version, load_time);
         }
     }
 
-    /// Latest version whose first step it knows.
+    /// Highest version whose first step is known.
     pub(crate) fn version(&self) -> u64 {
         self.maps.keys().last().copied().unwrap_or(0)
     }
@@ -69,10 +69,15 @@
         self.prepared
     }
 
-    /// The map of the next step, if it may run.
-    pub(crate) fn may_run(&mut self) -> Option<u64> {
-        let begun = |(_, from): &(&u64, &u64)| **from <= self.next;
-        let map = self.maps.iter().filter(begun).map(|(v, _)| *v).max()?;
+    /// The map of the next step, if that step may run.
+    pub(crate) fn runnable_map(&mut self) -> Option<u64> {
+        let has_started = |(_, from): &(&u64, &u64)| **from <= self.next;
+        let map = self
+            .maps
+            .iter()
+            .filter(has_started)
+            .map(|(v, _)| *v)
+            .max()?;
         let loaded = self.prepared() >= map;
         (self.next < self.granted && loaded).then_some(map)
     }
