--- a/crates/conf/src/check.rs
+++ b/crates/conf/src/check.rs
@@ -123,8 +123,8 @@
     pub peers: Vec<Peer>,
     /// File with the initial statements, run once in the lifetime of the system.
     pub seed: Option<PathBuf>,
-    /// Steps that groups may run ahead of their slowest rank: the time for which they continue while
-    /// no leader can be reached, and the least duration of a switch.
+    /// Steps that groups may run ahead of their slowest rank: the time for which they continue
+    /// while no leader can be reached, and the least duration of a switch.
     pub grant_steps: u64,
 }
 
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -1,5 +1,5 @@
-//! Settings of one process: parsed from JSON by the schema's types, checked as a whole and converted
-//! to domain types. Every error contains field, value and remedy.
+//! Settings of one process: parsed from JSON by the schema's types, checked as a whole and
+//! converted to domain types. Every error contains field, value and remedy.
 
 mod check;
 mod roles;
--- a/crates/conf/tests/settings.rs
+++ b/crates/conf/tests/settings.rs
@@ -114,9 +114,9 @@
     );
 }
 
-/// Guards against gateways that do not start (1,090 terminations in a day): in a deployment simulated
-/// at a fraction of its size the allowance of retries is 33.7, but settings accepted integers only,
-/// and a fraction of a second followed by three zeros was read as milliseconds.
+/// Guards against gateways that do not start (1,090 terminations in a day): in a deployment
+/// simulated at a fraction of its size the allowance of retries is 33.7, but settings accepted
+/// integers only, and a fraction of a second followed by three zeros was read as milliseconds.
 #[gtest]
 fn gateway_settings_accept_fractions() {
     let text = r#"{"id": "g", "domain": "d", "inbox": "127.0.0.1:1", "operators": "127.0.0.1:2",
--- a/crates/engine/src/forward.rs
+++ b/crates/engine/src/forward.rs
@@ -25,8 +25,8 @@
 }
 
 impl Forwarder {
-    /// Forwards a request to the relay that it is for; reports the engine as without contact if that
-    /// relay does not answer in time.
+    /// Forwards a request to the relay that it is for; reports the engine as without contact if
+    /// that relay does not answer in time.
     pub(crate) async fn forward(
         &self,
         net: &Net,
--- a/crates/engine/src/relay.rs
+++ b/crates/engine/src/relay.rs
@@ -2,8 +2,8 @@
 //! It polls the engine and delivers orders to it on behalf of any coordinator.
 //!
 //! It decides nothing, and its only state is the counts of its last poll. It may crash, freeze or
-//! deliver an order late, as any link may: orders carry the group's epoch and a fencing token, and a
-//! coordinator that gets no answer calls the engine itself.
+//! deliver an order late, as any link may: orders carry the group's epoch and a fencing token, and
+//! a coordinator that gets no answer calls the engine itself.
 
 use crate::calls::{Answer, CallRequest, send};
 use crate::forward::Forwarder;
@@ -29,7 +29,7 @@
 
 /// Capacity of the queue of messages to the thread.
 const QUEUE_CAPACITY: usize = 256;
-/// An engine on the same machine answers within a millisecond; if its answer is lost, the call
+/// An engine on the same instance answers within a millisecond; if its answer is lost, the call
 /// must be retried before a held group makes its streams late.
 pub(crate) const TIMEOUT: Duration = Duration::from_millis(60);
 /// Interval of polls for complete copies: a quarter of a pass.
--- a/crates/engine/tests/calls.rs
+++ b/crates/engine/tests/calls.rs
@@ -50,8 +50,8 @@
     (address, concurrency)
 }
 
-/// Guards against a group that stalls for a second and more under a new leader: 192 calls started at
-/// once, most timed out before they were sent, were retried, and timed out again, because the
+/// Guards against a group that stalls for a second and more under a new leader: 192 calls started
+/// at once, most timed out before they were sent, were retried, and timed out again, because the
 /// timeout of all of them started together.
 #[googletest::test]
 fn concurrent_calls_are_limited() {
--- a/crates/engine/tests/places.rs
+++ b/crates/engine/tests/places.rs
@@ -34,8 +34,8 @@
     expect_that!(count(&ranked), eq(count(&sets)));
 }
 
-/// Guards against relays that seem silent while they forward a map: in the JSON form of the engines,
-/// 25 KB for 384 experts in 10 sets, 13 copies of it filled a link of 6 Mbit/s.
+/// Guards against relays that seem silent while they forward a map: in the JSON form of the
+/// engines, 25 KB for 384 experts in 10 sets, 13 copies of it filled a link of 6 Mbit/s.
 #[googletest::test]
 fn large_map_is_below_8_kib() {
     let compressed = compress_placements(192, &large_map()).unwrap();
--- a/crates/engine/tests/relay.rs
+++ b/crates/engine/tests/relay.rs
@@ -248,8 +248,8 @@
     expect_that!(all.counts, eq(&vec![0, 8, 200]));
 }
 
-/// Guards against a group that is not balanced because of one failed machine: a relay that forwarded
-/// requests waited for all of the others, one of which was unreachable, and reported nothing.
+/// Guards against a group that is not balanced because of one failed instance: a forwarding relay
+/// waited for all of the others, one of which was unreachable, and reported nothing.
 #[googletest::test]
 fn unreachable_relay_is_reported_in_time() {
     let (engine, _) = engine(Box::new(answer_normally));
--- a/crates/fake/src/lib.rs
+++ b/crates/fake/src/lib.rs
@@ -1,5 +1,5 @@
 //! Fake backend servers: a small continuous-batching engine and a plain service. They implement the
-//! project's interfaces and keep their own record of what ran, which is the reference in every proof.
+//! project's interfaces and keep their own record of what ran, the reference of every proof.
 
 mod announce;
 mod directives;
--- a/crates/fake/src/record.rs
+++ b/crates/fake/src/record.rs
@@ -9,7 +9,7 @@
 /// One event of one request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Line {
-    /// `start`, `end`, `cancel`, `step`, `turned_away`, or `fatal` if the request terminates the fake.
+    /// `start`, `end`, `cancel`, `step`, `turned_away`, or `fatal` if it terminates the fake.
     pub event: String,
     /// Idempotency key, empty if there is none.
     pub key: String,
