--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -72,7 +72,7 @@
                         let Ok(permit) = permits.clone().acquire_owned().await else {
                             return;
                         };
-                        pool.sweep(start.elapsed());
+                        pool.evict_expired(start.elapsed());
                         let pool = pool.clone();
                         tokio::spawn(async move {
                             let _permit = permit;
@@ -104,7 +104,7 @@
 }
 
 pub(crate) async fn send(pool: &Pool, start: Instant, request: &CallRequest) -> Answer {
-    let idle = pool.idle(start.elapsed(), request.address);
+    let idle = pool.take_idle(start.elapsed(), request.address);
     let mut connection = match idle {
         Some(connection) => connection,
         None => client::open(request.address).await.ok()?,
@@ -119,7 +119,7 @@
         .collect()
         .await;
     let body = body.ok()?.to_bytes();
-    pool.keep(start.elapsed(), connection, None);
+    pool.put_back(start.elapsed(), connection, None);
     Some((status, body))
 }
 
--- a/crates/engine/src/forward.rs
+++ b/crates/engine/src/forward.rs
@@ -60,7 +60,7 @@
             }
             _ => {
                 // Messages queued on the link must not arrive once the peer is back.
-                net.forget(peer);
+                net.disconnect(peer);
                 without_contact(call)
             }
         }
--- a/crates/engine/src/placements.rs
+++ b/crates/engine/src/placements.rs
@@ -35,12 +35,12 @@
         low: holding_ranks.iter().map(|r| r.to_le_bytes()[0]).collect(),
         high: holding_ranks.iter().map(|r| r.to_le_bytes()[1]).collect(),
     };
-    bn_wire::pack(&placements.encode_to_vec())
+    bn_wire::compress(&placements.encode_to_vec())
 }
 
 /// Decompresses the output of [`compress_placements`] to the experts by set and rank.
 pub fn decompress_placements(compressed: &[u8]) -> io::Result<Vec<Vec<Vec<u32>>>> {
-    let bytes = bn_wire::unpack(compressed)?;
+    let bytes = bn_wire::decompress(compressed)?;
     let placements = ExpertPlaces::decode(&bytes[..]).map_err(io::Error::other)?;
     let mut holding_ranks = placements.low.iter().zip(&placements.high);
     let mut sets = Vec::new();
