--- a/crates/gateway/src/feedback.rs
+++ b/crates/gateway/src/feedback.rs
@@ -3,7 +3,7 @@
 use crate::context::{RequestContext, text};
 use crate::shared::Shared;
 use bn_backpressure::{Directives, Feedback};
-use bn_platform::{asked as format, header};
+use bn_platform::{directives as format, header};
 use bn_registry::Record;
 use bn_route::Server;
 use hyper::Response;
@@ -87,7 +87,7 @@
 fn parse_directives(status: u16, headers: &HeaderMap) -> Directives {
     let limits = values(headers, header::LIMIT, format::limit);
     let backoffs = match status {
-        503 => values(headers, header::RETRY_AFTER, format::rest),
+        503 => values(headers, header::RETRY_AFTER, format::backoff),
         _ => Vec::new(),
     };
     let leaving = values(headers, header::LEAVING, format::leaving);
