--- a/crates/cli/tests/answers.rs
+++ b/crates/cli/tests/answers.rs
@@ -171,7 +171,7 @@
         script: Script,
     ) -> ScriptedAgent {
         let (expected, half) = (
-            bn_fake::expected("q", TOKENS),
+            bn_fake::expected_answer("q", TOKENS),
             TOKENS / 2 * bn_fake::TOKEN_BYTES,
         );
         let (a, b) = expected.split_at(half);
--- a/crates/cli/tests/testbed/calls.rs
+++ b/crates/cli/tests/testbed/calls.rs
@@ -70,7 +70,7 @@
         return CallOutcome::Cut(e.to_string());
     }
     let expected = match engine {
-        true => bn_fake::expected(&request.prompt, request.tokens),
+        true => bn_fake::expected_answer(&request.prompt, request.tokens),
         false => serde_json::json!({ "done": true, "echo": request.prompt }).to_string(),
     };
     match verdict.as_deref() {
--- a/crates/coordinator/src/core.rs
+++ b/crates/coordinator/src/core.rs
@@ -10,7 +10,7 @@
 };
 use bn_conf::{Coordinator as Conf, Settings};
 use bn_directory::Directory;
-use bn_engine::Calls;
+use bn_engine::EngineClient;
 use bn_net::{Net, UsageReporter};
 use bn_quorum::{
     Entry, Membership, Message, Output, Payload, Replica, ReplicaConfig, Role, Timing,
@@ -66,7 +66,7 @@
     pub(crate) coordinators: IndexSet<SocketAddr>,
     pub(crate) groups: groups::Groups,
     pub(crate) cases: cases::Cases,
-    pub(crate) calls: Calls,
+    pub(crate) calls: EngineClient,
     pub(crate) relays: relays::Relays,
     pub(crate) events: EventSender,
     usage: UsageReporter,
@@ -101,7 +101,7 @@
         conf: conf.clone(),
         net,
         lines,
-        calls: Calls::start().context(CallsSnafu)?,
+        calls: EngineClient::start().context(CallsSnafu)?,
         events: events.clone(),
     };
     let core = Core::open(&args)?;
@@ -119,11 +119,11 @@
             inbox, conf, lines, ..
         } = args;
         let new_identity = rand::random::<u64>() | 1;
-        let (mut store, mut loaded) = Store::open(&conf.data, new_identity, Disk::default())?;
+        let (mut store, mut loaded) = Store::open(&conf.data_dir, new_identity, Disk::default())?;
         let identity = loaded.identity;
         let empty = loaded.snapshot.is_none() && loaded.entries.is_empty();
         let seeds = inboxes(&conf.seeds, inbox.port());
-        if empty && conf.first {
+        if empty && conf.first_start {
             // The initial voters must be on disk: after a restart the settings no longer say that
             // the system is new, and a restarted voter would know no other one.
             let initial = initial_members(&seeds);
@@ -133,7 +133,7 @@
         lines.put(
             "data_opened",
             json!({
-                "identity": format!("{identity:016x}"), "empty": empty, "first": conf.first,
+                "identity": format!("{identity:016x}"), "empty": empty, "first": conf.first_start,
                 "entries": loaded.entries.len(), "torn_bytes": loaded.truncated_bytes,
             }),
         );
@@ -175,9 +175,9 @@
             proposals: Default::default(),
             reads: Default::default(),
             coordinators: IndexSet::new(),
-            members: Membership::new(&inbox.to_string(), conf.losses as usize),
+            members: Membership::new(&inbox.to_string(), conf.max_losses as usize),
             groups: Default::default(),
-            cases: cases::Cases::open(&conf.data),
+            cases: cases::Cases::open(&conf.data_dir),
             calls: args.calls.clone(),
             relays: Default::default(),
             events: args.events.clone(),
