--- a/crates/cli/tests/testbed/expect.rs
+++ b/crates/cli/tests/testbed/expect.rs
@@ -2,7 +2,7 @@
 
 use super::calls::{CallOutcome, Request};
 use super::run::{
-    POLL_INTERVAL, READY_TIMEOUT, Rule, Scenario, StepResult, number, settings, time, words,
+    POLL_INTERVAL, Rule, Scenario, StepResult, TIMEOUT, number, settings, time, words,
 };
 use pest::iterators::Pair;
 use std::collections::HashMap;
@@ -36,7 +36,7 @@
         let (id, expected) = (&args[0], args[1].as_str());
         if let Some(call) = self.calls.remove(id) {
             let start = Instant::now();
-            let within = args.get(2).map_or(READY_TIMEOUT, |t| time(t));
+            let within = args.get(2).map_or(TIMEOUT, |t| time(t));
             while !call.is_finished() {
                 if start.elapsed() > within {
                     return Err(format!("call {id} has no outcome after {within:?}"));
--- a/crates/cli/tests/testbed/run.rs
+++ b/crates/cli/tests/testbed/run.rs
@@ -18,7 +18,7 @@
 
 pub(super) type StepResult<T = ()> = Result<T, String>;
 
-pub(super) const READY_TIMEOUT: Duration = Duration::from_secs(30);
+pub(super) const TIMEOUT: Duration = Duration::from_secs(30);
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 pub(super) struct Scenario {
@@ -167,7 +167,7 @@
             .count();
         for entry in self.system.entries() {
             let query = "show backends where state = serving";
-            self.wait_for_rows(&entry, query, backends, READY_TIMEOUT)?;
+            self.wait_for_rows(&entry, query, backends, TIMEOUT)?;
         }
         let start = Instant::now();
         let service = match self.system.names().iter().any(|n| n == "n1") {
@@ -179,8 +179,8 @@
             let request = self.request("e1", service, "ready?".into(), Some(key), 1, None);
             match send(&request) {
                 CallOutcome::Whole => return Ok(()),
-                other if start.elapsed() > READY_TIMEOUT => {
-                    return Err(format!("system not ready: {other:?}"));
+                other if start.elapsed() > TIMEOUT => {
+                    return Err(format!("not ready: {other:?}"));
                 }
                 _ => thread::sleep(POLL_INTERVAL * 4),
             }
@@ -297,7 +297,7 @@
                     return Ok(Some(reason.map(Value::to_string).unwrap_or_default()));
                 }
                 // Outcome unknown: repeats the same command, as an operator would.
-                _ if start.elapsed() < READY_TIMEOUT => thread::sleep(POLL_INTERVAL),
+                _ if start.elapsed() < TIMEOUT => thread::sleep(POLL_INTERVAL),
                 other => return Err(format!("command has no outcome: {other:?}")),
             }
         }
