--- a/crates/fleet/src/coordinator.rs
+++ b/crates/fleet/src/coordinator.rs
@@ -1,6 +1,6 @@
 //! A coordinator of the model.
 
-use crate::tally::Tally;
+use crate::traffic::Tally;
 use bn_coordinator::Subscribers;
 use bn_gateway::{Position, Telling};
 use bn_registry::{Cursor, Record, Registry};
--- a/crates/fleet/src/gateway.rs
+++ b/crates/fleet/src/gateway.rs
@@ -1,7 +1,7 @@
 //! A gateway of the model.
 
-use crate::tally::Tally;
-use crate::world::gateway_inbox;
+use crate::simulation::gateway_inbox;
+use crate::traffic::Tally;
 use bn_gateway::{Position, Sources, Telling};
 use bn_registry::{BackendId, Record};
 use indexmap::IndexMap;
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -5,11 +5,11 @@
 
 mod coordinator;
 mod gateway;
-mod mail;
-mod play;
-mod tally;
-mod world;
+mod messages;
+mod scenario;
+mod simulation;
+mod traffic;
 
-pub use play::{Report, play};
-pub use tally::{Load, Tally};
-pub use world::{Shape, World};
+pub use scenario::{Report, play};
+pub use simulation::{Shape, World};
+pub use traffic::{Load, Tally};
--- a/crates/fleet/src/play.rs
+++ b/crates/fleet/src/scenario.rs
@@ -1,7 +1,7 @@
 //! One run of the model: a common start, a calm time, changes one after the other.
 
-use crate::tally::Load;
-use crate::world::{Shape, World};
+use crate::simulation::{Shape, World};
+use crate::traffic::Load;
 use std::time::Duration;
 
 /// Backend servers that announce themselves at the start, over this time.
--- a/crates/fleet/src/world.rs
+++ b/crates/fleet/src/simulation.rs
@@ -2,8 +2,8 @@
 
 use crate::coordinator::Coordinator;
 use crate::gateway::Gateway;
-use crate::mail::{Mail, ask_size, news_size};
-use crate::tally::{Load, Tally, busiest};
+use crate::messages::{Mail, ask_size, news_size};
+use crate::traffic::{Load, Tally, busiest};
 use bn_backpressure::Limit;
 use bn_gateway::Position;
 use bn_registry::{Condition, Record};
