--- a/crates/cli/src/cmd/bench/fleet.rs
+++ b/crates/cli/src/cmd/bench/fleet.rs
@@ -3,7 +3,7 @@
 
 use super::table;
 use crate::error::CliResult;
-use bn_fleet::{Load, Report, Shape, play};
+use bn_fleet::{FleetSpec, Report, TrafficRate, run_scenario};
 use std::time::Instant;
 
 #[derive(clap::Args)]
@@ -41,12 +41,12 @@
     ]);
     for gateways in &args.sizes {
         let began = Instant::now();
-        let shape = Shape {
+        let shape = FleetSpec {
             gateways: *gateways,
             coordinators: args.coordinators,
-            lost: args.lost.clamp(0.0, 1.0),
+            loss_rate: args.lost.clamp(0.0, 1.0),
         };
-        let report = play(args.seed, shape, args.servers);
+        let report = run_scenario(args.seed, shape, args.servers);
         t.add_row(row(*gateways, &report, began));
     }
     println!("{t}");
@@ -55,19 +55,19 @@
 }
 
 fn row(gateways: usize, report: &Report, began: Instant) -> Vec<String> {
-    let start = |load: Load| format!("{:.1}", load.bytes / 1e3);
-    let both = |load: Load| format!("{:.1}; {:.2}", load.messages, load.bytes / 1e3);
+    let start = |load: TrafficRate| format!("{:.1}", load.bytes / 1e3);
+    let both = |load: TrafficRate| format!("{:.1}; {:.2}", load.messages, load.bytes / 1e3);
     vec![
         gateways.to_string(),
-        format!("{:.2}", report.copies),
+        format!("{:.2}", report.mean_copies),
         report
-            .latest
+            .max_delay
             .map_or("never".into(), |t| t.as_millis().to_string()),
-        start(report.start.0),
-        both(report.calm.0),
+        start(report.startup.0),
+        both(report.idle.0),
         both(report.changes.0),
-        start(report.start.1),
-        both(report.calm.1),
+        start(report.startup.1),
+        both(report.idle.1),
         both(report.changes.1),
         format!("{:.1}", began.elapsed().as_secs_f64()),
     ]
--- a/crates/fleet/src/coordinator.rs
+++ b/crates/fleet/src/coordinator.rs
@@ -1,6 +1,6 @@
-//! A coordinator of the model.
+//! A simulated coordinator.
 
-use crate::traffic::Tally;
+use crate::traffic::Traffic;
 use bn_coordinator::Subscribers;
 use bn_gateway::{Position, Telling};
 use bn_registry::{Cursor, Record, Registry};
@@ -8,29 +8,29 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Between two pushes to the other coordinators.
-const AMONG: Duration = Duration::from_millis(50);
-/// Between two asks of one coordinator to another, which are answered with what was lost.
-const REPAIR: Duration = Duration::from_millis(500);
+/// Time between two pushes to the other coordinators.
+const PEER_PUSH_INTERVAL: Duration = Duration::from_millis(50);
+/// Time between two polls of one coordinator by another, whose answers make up for lost pushes.
+const RESYNC_INTERVAL: Duration = Duration::from_millis(500);
 #[derive(Default)]
 pub(crate) struct Coordinator {
     incarnation: u64,
     registry: Registry,
     subscribers: Subscribers,
-    untold: Vec<Record>,
+    pending: Vec<Record>,
     pub(crate) stopped: bool,
-    pub(crate) tally: Tally,
+    pub(crate) traffic: Traffic,
 }
 
-/// The same news for some gateways.
+/// One update that is sent to several gateways.
 pub(crate) struct Push {
     pub(crate) inboxes: Vec<SocketAddr>,
-    pub(crate) telling: Telling,
+    pub(crate) update: Telling,
     pub(crate) changed: Rc<[Record]>,
 }
 
 impl Coordinator {
-    /// One that starts, for the so-manieth time, and knows nothing.
+    /// Starts with an empty registry; `incarnation` counts its starts.
     pub(crate) fn start(incarnation: u64) -> Coordinator {
         Coordinator {
             incarnation,
@@ -38,71 +38,71 @@
         }
     }
 
-    /// The next start of it.
-    pub(crate) fn start_anew(&mut self) {
+    /// Restarts it as the next incarnation.
+    pub(crate) fn restart(&mut self) {
         *self = Coordinator::start(self.incarnation + 1);
     }
 
-    /// A backend server announces itself here.
+    /// Accepts the announcement of a backend server.
     pub(crate) fn announce(&mut self, now: Duration, record: Record) {
         self.registry.merge(now, record.clone());
-        self.untold.push(record);
+        self.pending.push(record);
     }
 
-    /// Another coordinator tells.
-    pub(crate) fn take(&mut self, now: Duration, records: &[Record]) {
+    /// Merges the records that another coordinator sent.
+    pub(crate) fn receive(&mut self, now: Duration, records: &[Record]) {
         for record in records {
             self.registry.merge(now, record.clone());
         }
     }
 
-    /// What subscribers are to be told now.
+    /// Updates that are due to subscribers.
     pub(crate) fn push(&mut self, now: Duration) -> Vec<Push> {
-        let mark = self.registry.cursor();
-        let behind = self.subscribers.behind(now, mark, false);
+        let cursor = self.registry.cursor();
+        let behind = self.subscribers.behind(now, cursor, false);
         let push = |(after, inboxes): (Cursor, Vec<SocketAddr>)| Push {
             inboxes,
-            telling: self.telling(after, mark),
+            update: self.update(after, cursor),
             changed: self.registry.changed_since(after).into(),
         };
         behind.into_iter().map(push).collect()
     }
 
-    /// What the other coordinators are to be told now.
-    pub(crate) fn tell_others(&mut self, now: Duration) -> Option<Rc<[Record]>> {
-        let in_turn = |gap: Duration| now.as_millis().is_multiple_of(gap.as_millis());
-        if in_turn(REPAIR) {
-            self.untold = self.registry.changed_since(0);
+    /// Records that are due to the other coordinators.
+    pub(crate) fn push_to_peers(&mut self, now: Duration) -> Option<Rc<[Record]>> {
+        let is_due = |interval: Duration| now.as_millis().is_multiple_of(interval.as_millis());
+        if is_due(RESYNC_INTERVAL) {
+            self.pending = self.registry.changed_since(0);
         }
-        let due = in_turn(AMONG) && !self.untold.is_empty();
-        due.then(|| std::mem::take(&mut self.untold).into())
+        let due = is_due(PEER_PUSH_INTERVAL) && !self.pending.is_empty();
+        due.then(|| std::mem::take(&mut self.pending).into())
     }
 
-    /// Answers a gateway's ask.
-    pub(crate) fn answer(
+    /// Answers a gateway's poll.
+    pub(crate) fn answer_poll(
         &mut self,
         gateway: SocketAddr,
         position: Position,
     ) -> (Telling, Rc<[Record]>) {
         if position.brief {
             self.subscribers.drop(gateway);
-            return (self.telling(0, 0), Rc::default());
+            return (self.update(0, 0), Rc::default());
         }
-        // A mark of an earlier start says nothing of this one.
+        // A cursor of an earlier incarnation is meaningless in this one.
         let known = match position.incarnation == self.incarnation {
             true => position.mark,
             false => 0,
         };
-        let mark = self.registry.cursor();
-        self.subscribers.told(gateway, mark);
+        let cursor = self.registry.cursor();
+        self.subscribers.told(gateway, cursor);
         let changed = self.registry.changed_since(known);
-        (self.telling(known, mark), changed.into())
+        (self.update(known, cursor), changed.into())
     }
 
-    fn telling(&self, after: Cursor, mark: Cursor) -> Telling {
+    fn update(&self, after: Cursor, cursor: Cursor) -> Telling {
         Telling {
             incarnation: self.incarnation,
-            mark,
+            mark: cursor,
             after,
         }
     }
--- a/crates/fleet/src/gateway.rs
+++ b/crates/fleet/src/gateway.rs
@@ -1,7 +1,7 @@
-//! A gateway of the model.
+//! A simulated gateway.
 
 use crate::simulation::gateway_inbox;
-use crate::traffic::Tally;
+use crate::traffic::Traffic;
 use bn_gateway::{Position, Sources, Telling};
 use bn_registry::{BackendId, Record};
 use indexmap::IndexMap;
@@ -11,56 +11,61 @@
 pub(crate) struct Gateway {
     pub(crate) inbox: SocketAddr,
     pub(crate) sources: Sources,
-    due: Duration,
-    /// Backend servers that it knows of.
-    pub(crate) held: IndexMap<BackendId, Held>,
-    pub(crate) tally: Tally,
+    next_poll: Duration,
+    /// Backend servers that it has learned of.
+    pub(crate) known: IndexMap<BackendId, KnownServer>,
+    pub(crate) traffic: Traffic,
 }
 
-/// How one backend server became known.
-pub(crate) struct Held {
+/// How updates brought one backend server's registration.
+pub(crate) struct KnownServer {
     pub(crate) copies: u32,
-    pub(crate) first: Duration,
+    pub(crate) first_received: Duration,
 }
 
 impl Gateway {
-    /// One that first asks at `due`; `first` is its random number.
-    pub(crate) fn new(n: usize, seeds: Vec<SocketAddr>, first: usize, due: Duration) -> Gateway {
+    /// Polls for the first time at `next_poll`; `random` is its random number.
+    pub(crate) fn new(
+        n: usize,
+        seeds: Vec<SocketAddr>,
+        random: usize,
+        next_poll: Duration,
+    ) -> Gateway {
         Gateway {
             inbox: gateway_inbox(n),
-            sources: Sources::new(seeds, first),
-            due,
-            held: IndexMap::new(),
-            tally: Tally::default(),
+            sources: Sources::new(seeds, random),
+            next_poll,
+            known: IndexMap::new(),
+            traffic: Traffic::default(),
         }
     }
 
-    /// Whom it asks now, and what.
-    pub(crate) fn ask(&mut self, now: Duration) -> Option<(SocketAddr, Position)> {
-        if now < self.due {
+    /// The coordinator that it polls now, and the position that it polls from.
+    pub(crate) fn poll(&mut self, now: Duration) -> Option<(SocketAddr, Position)> {
+        if now < self.next_poll {
             return None;
         }
-        self.due = now + self.sources.gap();
+        self.next_poll = now + self.sources.gap();
         let to = self.sources.turn()?;
         Some((to, self.sources.asked(to)))
     }
 
-    /// A coordinator tells.
-    pub(crate) fn take(
+    /// Processes an update from a coordinator.
+    pub(crate) fn receive(
         &mut self,
         now: Duration,
         from: SocketAddr,
-        telling: Telling,
+        update: Telling,
         records: &[Record],
     ) {
-        self.sources.heard(from, telling);
+        self.sources.heard(from, update);
         for record in records {
-            let new = Held {
+            let new = KnownServer {
                 copies: 0,
-                first: now,
+                first_received: now,
             };
-            let held = self.held.entry(record.id.clone()).or_insert(new);
-            held.copies += 1;
+            let known = self.known.entry(record.id.clone()).or_insert(new);
+            known.copies += 1;
         }
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,7 +1,7 @@
-//! A model of the control plane at any size: what coordinators and gateways decide about
-//! registrations, with the messages that they would send, on a manual clock. No network, no processes.
+//! Simulates the control plane at any size: coordinators and gateways make their real decisions about
+//! registrations and exchange the resulting messages on a manual clock, without network or processes.
 //!
-//! Processor time is not modelled, nor are documents, consensus and groups.
+//! CPU time, documents, consensus and groups are not modelled.
 
 mod coordinator;
 mod gateway;
@@ -10,6 +10,6 @@
 mod simulation;
 mod traffic;
 
-pub use scenario::{Report, play};
-pub use simulation::{Shape, World};
-pub use traffic::{Load, Tally};
+pub use scenario::{Report, run_scenario};
+pub use simulation::{FleetSpec, Simulation};
+pub use traffic::{Traffic, TrafficRate};
--- a/crates/fleet/src/messages.rs
+++ b/crates/fleet/src/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between the processes of the model, and their size on a link.
+//! Messages between the simulated processes, and their encoded sizes.
 
 use bn_gateway::{Position, Telling};
 use bn_registry::Record;
@@ -8,33 +8,33 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// What is on its way, and between whom.
+/// A message in transit, with its sender and receiver.
 #[derive(Debug, Clone)]
-pub(crate) enum Mail {
-    /// A gateway asks a coordinator.
-    Ask {
+pub(crate) enum Packet {
+    /// A gateway polls a coordinator.
+    Poll {
         gateway: usize,
         coordinator: usize,
         position: Position,
     },
-    /// A coordinator answers a gateway, or pushes.
-    News {
+    /// A coordinator answers a gateway's poll, or pushes an update to it.
+    Update {
         coordinator: usize,
         gateway: usize,
-        telling: Telling,
+        update: Telling,
         changed: Rc<[Record]>,
     },
-    /// One coordinator tells another.
-    Among {
+    /// One coordinator pushes records to another.
+    PeerUpdate {
         from: usize,
         to: usize,
         changed: Rc<[Record]>,
     },
 }
 
-/// Bytes of an ask.
-pub(crate) fn ask_size(gateway: SocketAddr, position: &Position) -> u64 {
-    let ask = NewsAsk {
+/// Encoded size of a poll in bytes.
+pub(crate) fn poll_size(gateway: SocketAddr, position: &Position) -> u64 {
+    let poll = NewsAsk {
         callers: gateway.to_string(),
         domain: "domain-1".into(),
         ready: true,
@@ -45,30 +45,30 @@
         named: 1 << 31,
         ..NewsAsk::default()
     };
-    framed(gateway, Role::Gateway, Body::NewsAsk(ask))
+    envelope_size(gateway, Role::Gateway, Body::NewsAsk(poll))
 }
 
-/// Bytes of news.
-pub(crate) fn news_size(
+/// Encoded size of an update in bytes.
+pub(crate) fn update_size(
     from: SocketAddr,
     coordinators: &[SocketAddr],
-    telling: &Telling,
+    update: &Telling,
     changed: &[Record],
 ) -> u64 {
     let news = News {
         version: 1,
-        mark: telling.mark,
-        after: telling.after,
+        mark: update.mark,
+        after: update.after,
         coordinators: coordinators.iter().map(ToString::to_string).collect(),
         gateways: 24,
         current: true,
         changed: changed.iter().map(Registration::from).collect(),
         ..News::default()
     };
-    framed(from, Role::Coordinator, Body::News(news))
+    envelope_size(from, Role::Coordinator, Body::News(news))
 }
 
-fn framed(from: SocketAddr, role: Role, body: Body) -> u64 {
+fn envelope_size(from: SocketAddr, role: Role, body: Body) -> u64 {
     let envelope = Envelope {
         from: from.ip().to_string(),
         incarnation: u64::MAX,
--- a/crates/fleet/src/scenario.rs
+++ b/crates/fleet/src/scenario.rs
@@ -1,58 +1,59 @@
-//! One run of the model: a common start, a calm time, changes one after the other.
+//! One run of the simulation: all processes start at once, then nothing changes for a time, then changes
+//! come one by one.
 
-use crate::simulation::{Shape, World};
-use crate::traffic::Load;
+use crate::simulation::{FleetSpec, Simulation};
+use crate::traffic::TrafficRate;
 use std::time::Duration;
 
-/// Backend servers that announce themselves at the start, over this time.
-const START: Duration = Duration::from_secs(5);
-const CALM: Duration = Duration::from_secs(10);
-/// Changes after that, and the time between two of them.
+/// Time over which the first backend servers announce themselves.
+const STARTUP: Duration = Duration::from_secs(5);
+const IDLE: Duration = Duration::from_secs(10);
+/// Number of changes after the idle time, and the time between two of them.
 const CHANGES: usize = 50;
-const BETWEEN: Duration = Duration::from_millis(100);
-/// Time after the last of them, in which it reaches everyone.
-const SETTLING: Duration = Duration::from_secs(3);
+const CHANGE_INTERVAL: Duration = Duration::from_millis(100);
+/// Time after the last change for it to reach all gateways.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// What a run showed.
+/// Results of a run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Report {
-    /// Busiest coordinator and gateway over the start.
-    pub start: (Load, Load),
-    /// The same while nothing changes.
-    pub calm: (Load, Load),
-    /// The same while changes come.
-    pub changes: (Load, Load),
-    /// Copies of one registration that came to one gateway, in the mean.
-    pub copies: f64,
-    /// Longest time until a gateway knew of a backend server; none where one never did.
-    pub latest: Option<Duration>,
+    /// Peak rates of a coordinator and of a gateway while the fleet is starting up.
+    pub startup: (TrafficRate, TrafficRate),
+    /// The same while no registration changes.
+    pub idle: (TrafficRate, TrafficRate),
+    /// The same while registrations change.
+    pub changes: (TrafficRate, TrafficRate),
+    /// Mean number of copies of one registration that one gateway received.
+    pub mean_copies: f64,
+    /// Longest time until a gateway learned of a backend server; `None` if one never did.
+    pub max_delay: Option<Duration>,
 }
 
-/// Plays a fleet before so many backend servers.
-pub fn play(seed: u64, shape: Shape, servers: usize) -> Report {
-    let mut world = World::new(seed, shape);
-    let gap = START / servers.max(1) as u32;
+/// Simulates a fleet that has this many backend servers.
+pub fn run_scenario(seed: u64, spec: FleetSpec, servers: usize) -> Report {
+    let mut simulation = Simulation::new(seed, spec);
+    let interval = STARTUP / servers.max(1) as u32;
     for number in 0..servers {
-        world.announce(number);
-        world.run(gap);
+        simulation.announce(number);
+        simulation.run(interval);
     }
-    let start = world.loads();
-    world.run(SETTLING);
-    world.count_anew();
-    world.run(CALM);
-    let calm = world.loads();
-    world.count_anew();
+    let startup = simulation.peak_rates();
+    simulation.run(SETTLE_TIME);
+    simulation.reset_counts();
+    simulation.run(IDLE);
+    let idle = simulation.peak_rates();
+    simulation.reset_counts();
     for number in 0..CHANGES {
-        world.announce(servers + number);
-        world.run(BETWEEN);
+        simulation.announce(servers + number);
+        simulation.run(CHANGE_INTERVAL);
     }
-    let changes = world.loads();
-    world.run(SETTLING);
+    let changes = simulation.peak_rates();
+    simulation.run(SETTLE_TIME);
     Report {
-        start,
-        calm,
+        startup,
+        idle,
         changes,
-        copies: world.copies(),
-        latest: world.latest(),
+        mean_copies: simulation.mean_copies(),
+        max_delay: simulation.max_delay(),
     }
 }
--- a/crates/fleet/src/simulation.rs
+++ b/crates/fleet/src/simulation.rs
@@ -1,9 +1,9 @@
-//! The processes of the model and their clock.
+//! The simulated processes and their clock.
 
 use crate::coordinator::Coordinator;
 use crate::gateway::Gateway;
-use crate::messages::{Mail, ask_size, news_size};
-use crate::traffic::{Load, Tally, busiest};
+use crate::messages::{Packet, poll_size, update_size};
+use crate::traffic::{Traffic, TrafficRate, peak_rate};
 use bn_backpressure::Limit;
 use bn_gateway::Position;
 use bn_registry::{Condition, Record};
@@ -14,75 +14,75 @@
 use std::time::Duration;
 
 const TICK: Duration = Duration::from_millis(10);
-/// Number of a coordinator's first start.
-const FIRST: u64 = 1;
-/// Coordinators that settings name.
-const SEEDS: usize = 3;
+/// Incarnation of a coordinator's first start.
+const FIRST_INCARNATION: u64 = 1;
+/// Coordinators that the settings name as seeds.
+const SEED_COUNT: usize = 3;
 const PORT: u16 = 7340;
 
-/// How large a fleet is, and how its links fare.
+/// Size of a fleet and quality of its links.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Shape {
+pub struct FleetSpec {
     /// Gateways.
     pub gateways: usize,
     /// Coordinators.
     pub coordinators: usize,
-    /// Part of the messages that is lost.
-    pub lost: f64,
+    /// Fraction of the messages that is lost.
+    pub loss_rate: f64,
 }
 
-/// A fleet under way.
-pub struct World {
+/// A simulated fleet.
+pub struct Simulation {
     now: Duration,
     rng: SmallRng,
-    shape: Shape,
+    spec: FleetSpec,
     inboxes: Vec<SocketAddr>,
     coordinators: Vec<Coordinator>,
     gateways: Vec<Gateway>,
     by_inbox: IndexMap<SocketAddr, usize>,
-    mail: Vec<(Duration, Mail)>,
+    in_transit: Vec<(Duration, Packet)>,
     announced: IndexMap<String, Duration>,
-    counted: Duration,
+    counting_since: Duration,
 }
 
-impl World {
-    /// A fleet that starts now, all of it at once.
-    pub fn new(seed: u64, shape: Shape) -> World {
+impl Simulation {
+    /// Creates a fleet whose processes all start now.
+    pub fn new(seed: u64, spec: FleetSpec) -> Simulation {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let inboxes: Vec<SocketAddr> = (0..shape.coordinators).map(coordinator_inbox).collect();
-        let coordinators = (0..shape.coordinators)
-            .map(|_| Coordinator::start(FIRST))
+        let inboxes: Vec<SocketAddr> = (0..spec.coordinators).map(coordinator_inbox).collect();
+        let coordinators = (0..spec.coordinators)
+            .map(|_| Coordinator::start(FIRST_INCARNATION))
             .collect();
-        let seeds: Vec<SocketAddr> = inboxes.iter().copied().take(SEEDS).collect();
+        let seeds: Vec<SocketAddr> = inboxes.iter().copied().take(SEED_COUNT).collect();
         let gateway = |n: usize| {
             let due = Duration::from_millis(rng.random_range(0..100));
             Gateway::new(n, seeds.clone(), rng.random_range(0..1 << 16), due)
         };
-        let gateways: Vec<Gateway> = (0..shape.gateways).map(gateway).collect();
+        let gateways: Vec<Gateway> = (0..spec.gateways).map(gateway).collect();
         let by_inbox = gateways.iter().enumerate().map(|(n, g)| (g.inbox, n));
-        World {
+        Simulation {
             now: Duration::ZERO,
-            shape,
+            spec,
             by_inbox: by_inbox.collect(),
             inboxes,
             coordinators,
             gateways,
-            mail: Vec::new(),
+            in_transit: Vec::new(),
             announced: IndexMap::new(),
-            counted: Duration::ZERO,
+            counting_since: Duration::ZERO,
             rng,
         }
     }
 
-    /// Lets time pass.
+    /// Advances the clock by `time`.
     pub fn run(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
-            self.step();
+            self.advance();
         }
     }
 
-    /// A backend server announces itself at some coordinator that runs.
+    /// Announces a backend server at a random running coordinator.
     pub fn announce(&mut self, number: usize) {
         let record = record(number);
         self.announced.insert(record.id.clone(), self.now);
@@ -96,85 +96,85 @@
         }
     }
 
-    /// One coordinator does nothing any more.
+    /// Stops one coordinator for good.
     pub fn stop(&mut self, coordinator: usize) {
         if let Some(coordinator) = self.coordinators.get_mut(coordinator) {
             coordinator.stopped = true;
         }
     }
 
-    /// One coordinator starts again, and knows nothing.
-    pub fn start_anew(&mut self, coordinator: usize) {
+    /// Restarts one coordinator with an empty registry.
+    pub fn restart(&mut self, coordinator: usize) {
         if let Some(coordinator) = self.coordinators.get_mut(coordinator) {
-            coordinator.start_anew();
+            coordinator.restart();
         }
     }
 
-    /// Counts of messages begin anew.
-    pub fn count_anew(&mut self) {
-        self.counted = self.now;
+    /// Resets the traffic counts.
+    pub fn reset_counts(&mut self) {
+        self.counting_since = self.now;
         self.coordinators
             .iter_mut()
-            .for_each(|c| c.tally = Tally::default());
+            .for_each(|c| c.traffic = Traffic::default());
         self.gateways
             .iter_mut()
-            .for_each(|g| g.tally = Tally::default());
+            .for_each(|g| g.traffic = Traffic::default());
     }
 
-    /// Load of the busiest coordinator and of the busiest gateway since the counts began.
-    pub fn loads(&self) -> (Load, Load) {
-        let time = self.now.saturating_sub(self.counted);
-        let coordinators = self.coordinators.iter().map(|c| c.tally);
-        let gateways = self.gateways.iter().map(|g| g.tally);
-        (busiest(coordinators, time), busiest(gateways, time))
+    /// Peak rates of a coordinator and of a gateway since the last reset of the counts.
+    pub fn peak_rates(&self) -> (TrafficRate, TrafficRate) {
+        let time = self.now.saturating_sub(self.counting_since);
+        let coordinators = self.coordinators.iter().map(|c| c.traffic);
+        let gateways = self.gateways.iter().map(|g| g.traffic);
+        (peak_rate(coordinators, time), peak_rate(gateways, time))
     }
 
-    /// Copies of one change that came to one gateway, in the mean.
-    pub fn copies(&self) -> f64 {
-        let all = self.gateways.iter().flat_map(|g| g.held.values());
-        let (sum, count) = all.fold((0, 0), |(s, n), h| (s + h.copies, n + 1));
+    /// Mean number of copies of one change that one gateway received.
+    pub fn mean_copies(&self) -> f64 {
+        let all = self.gateways.iter().flat_map(|g| g.known.values());
+        let (sum, count) = all.fold((0, 0), |(s, n), server| (s + server.copies, n + 1));
         f64::from(sum) / f64::from(count)
     }
 
-    /// Longest time from an announcement until a gateway knew of it; none where one never did.
-    pub fn latest(&self) -> Option<Duration> {
-        let mut latest = Duration::ZERO;
+    /// Longest time from an announcement until a gateway learned of it; `None` if one never did.
+    pub fn max_delay(&self) -> Option<Duration> {
+        let mut longest = Duration::ZERO;
         for gateway in &self.gateways {
             for (id, announced) in &self.announced {
-                let held = gateway.held.get(id)?;
-                latest = latest.max(held.first.saturating_sub(*announced));
+                let known = gateway.known.get(id)?;
+                longest = longest.max(known.first_received.saturating_sub(*announced));
             }
         }
-        Some(latest)
+        Some(longest)
     }
 
-    fn step(&mut self) {
+    fn advance(&mut self) {
         self.now += TICK;
         let now = self.now;
-        let (due, later) = std::mem::take(&mut self.mail)
+        let (due, later) = std::mem::take(&mut self.in_transit)
             .into_iter()
             .partition::<Vec<_>, _>(|(at, _)| *at <= now);
-        self.mail = later;
-        for (_, mail) in due {
-            self.deliver(mail);
+        self.in_transit = later;
+        for (_, packet) in due {
+            self.deliver(packet);
         }
         for at in 0..self.coordinators.len() {
             self.push(at);
         }
         for at in 0..self.gateways.len() {
-            self.ask(at);
+            self.poll(at);
         }
     }
 
-    fn ask(&mut self, at: usize) {
+    fn poll(&mut self, at: usize) {
         let now = self.now;
-        let asked = self.gateways.get_mut(at).and_then(|g| g.ask(now));
-        let Some((to, position)) = asked else {
+        let polled = self.gateways.get_mut(at).and_then(|g| g.poll(now));
+        let Some((to, position)) = polled else {
             return;
         };
         let coordinator = self.inboxes.iter().position(|i| *i == to);
         if let Some(coordinator) = coordinator {
-            self.post(Mail::Ask {
+            self.send(Packet::Poll {
                 gateway: at,
                 coordinator,
                 position,
@@ -187,90 +187,90 @@
         let Some(coordinator) = self.coordinators.get_mut(at).filter(|c| !c.stopped) else {
             return;
         };
-        let mut mail = Vec::new();
+        let mut packets = Vec::new();
         for push in coordinator.push(now) {
             let gateways = push.inboxes.iter().filter_map(|i| self.by_inbox.get(i));
-            mail.extend(gateways.map(|gateway| Mail::News {
+            packets.extend(gateways.map(|gateway| Packet::Update {
                 coordinator: at,
                 gateway: *gateway,
-                telling: push.telling,
+                update: push.update,
                 changed: push.changed.clone(),
             }));
         }
-        if let Some(changed) = coordinator.tell_others(now) {
+        if let Some(changed) = coordinator.push_to_peers(now) {
             let others = (0..self.inboxes.len()).filter(|to| *to != at);
-            mail.extend(others.map(|to| Mail::Among {
+            packets.extend(others.map(|to| Packet::PeerUpdate {
                 from: at,
                 to,
                 changed: changed.clone(),
             }));
         }
-        mail.into_iter().for_each(|m| self.post(m));
+        packets.into_iter().for_each(|m| self.send(m));
     }
 
-    fn post(&mut self, mail: Mail) {
-        self.count(&mail);
-        if !self.rng.random_bool(self.shape.lost) {
-            let way = Duration::from_millis(self.rng.random_range(1..4));
-            self.mail.push((self.now + way, mail));
+    fn send(&mut self, packet: Packet) {
+        self.count_traffic(&packet);
+        if !self.rng.random_bool(self.spec.loss_rate) {
+            let latency = Duration::from_millis(self.rng.random_range(1..4));
+            self.in_transit.push((self.now + latency, packet));
         }
     }
 
-    /// Both ends count a message. What coordinators tell each other is left out: their asks, which
-    /// repair it, are not modelled.
-    fn count(&mut self, mail: &Mail) {
-        let (coordinator, gateway, bytes) = match mail {
-            Mail::Ask {
+    /// Counts a message at both ends. Updates between coordinators are left out, since the polls that
+    /// make up for lost ones are not modelled.
+    fn count_traffic(&mut self, packet: &Packet) {
+        let (coordinator, gateway, bytes) = match packet {
+            Packet::Poll {
                 gateway,
                 coordinator,
                 position,
             } => {
                 let inbox = gateway_inbox(*gateway);
-                (*coordinator, *gateway, ask_size(inbox, position))
+                (*coordinator, *gateway, poll_size(inbox, position))
             }
-            Mail::News {
+            Packet::Update {
                 coordinator,
                 gateway,
-                telling,
+                update,
                 changed,
             } => {
                 let inbox = coordinator_inbox(*coordinator);
-                let bytes = news_size(inbox, &self.inboxes, telling, changed);
+                let bytes = update_size(inbox, &self.inboxes, update, changed);
                 (*coordinator, *gateway, bytes)
             }
-            Mail::Among { .. } => return,
+            Packet::PeerUpdate { .. } => return,
         };
         if let Some(coordinator) = self.coordinators.get_mut(coordinator) {
-            coordinator.tally.add(bytes);
+            coordinator.traffic.add(bytes);
         }
         if let Some(gateway) = self.gateways.get_mut(gateway) {
-            gateway.tally.add(bytes);
+            gateway.traffic.add(bytes);
         }
     }
 
-    fn deliver(&mut self, mail: Mail) {
+    fn deliver(&mut self, packet: Packet) {
         let now = self.now;
-        match mail {
-            Mail::Among { from, to, changed } => {
+        match packet {
+            Packet::PeerUpdate { from, to, changed } => {
                 let running = self.coordinators.get(from).is_some_and(|c| !c.stopped);
                 if let Some(to) = self.coordinators.get_mut(to).filter(|_| running) {
-                    to.take(now, &changed);
+                    to.receive(now, &changed);
                 }
             }
-            Mail::Ask {
+            Packet::Poll {
                 gateway,
                 coordinator,
                 position,
             } => self.answer(gateway, coordinator, position),
-            Mail::News {
+            Packet::Update {
                 coordinator,
                 gateway,
-                telling,
+                update,
                 changed,
             } => {
                 let inbox = coordinator_inbox(coordinator);
                 if let Some(gateway) = self.gateways.get_mut(gateway) {
-                    gateway.take(now, inbox, telling, &changed);
+                    gateway.receive(now, inbox, update, &changed);
                     gateway.sources.follow(&self.inboxes);
                 }
             }
@@ -281,11 +281,11 @@
         let Some(coordinator) = self.coordinators.get_mut(at).filter(|c| !c.stopped) else {
             return;
         };
-        let (telling, changed) = coordinator.answer(gateway_inbox(gateway), position);
-        self.post(Mail::News {
+        let (update, changed) = coordinator.answer_poll(gateway_inbox(gateway), position);
+        self.send(Packet::Update {
             coordinator: at,
             gateway,
-            telling,
+            update,
             changed,
         });
     }
--- a/crates/fleet/src/traffic.rs
+++ b/crates/fleet/src/traffic.rs
@@ -1,37 +1,37 @@
-//! Counts of what processes send and receive.
+//! Counts of the messages that processes send and receive.
 
 use std::time::Duration;
 
 /// Messages and bytes of one process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Tally {
+pub struct Traffic {
     /// Messages, sent and received.
     pub messages: u64,
-    /// Bytes of them, without what the transport adds.
+    /// Their encoded bytes, without the overhead of the transport.
     pub bytes: u64,
 }
 
-/// The busiest process of a role over some time.
+/// Traffic of the peak_rate process of a role over some time.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Load {
+pub struct TrafficRate {
     /// Messages a second, sent and received.
     pub messages: f64,
     /// Bytes a second.
     pub bytes: f64,
 }
 
-impl Tally {
+impl Traffic {
     pub(crate) fn add(&mut self, bytes: u64) {
         self.messages += 1;
         self.bytes += bytes;
     }
 }
 
-/// The most that one of these processes had over that time.
-pub(crate) fn busiest(tallies: impl Iterator<Item = Tally>, time: Duration) -> Load {
+/// Highest rate of any of these processes over `time`, messages and bytes apart.
+pub(crate) fn peak_rate(counts: impl Iterator<Item = Traffic>, time: Duration) -> TrafficRate {
     let seconds = time.as_secs_f64();
-    tallies.fold(Load::default(), |most, t| Load {
-        messages: most.messages.max(t.messages as f64 / seconds),
-        bytes: most.bytes.max(t.bytes as f64 / seconds),
+    counts.fold(TrafficRate::default(), |max, t| TrafficRate {
+        messages: max.messages.max(t.messages as f64 / seconds),
+        bytes: max.bytes.max(t.bytes as f64 / seconds),
     })
 }
--- a/crates/fleet/tests/telling.rs
+++ b/crates/fleet/tests/telling.rs
@@ -1,35 +1,35 @@
-//! How registrations reach all gateways, at several sizes.
+//! Tests the propagation of registrations to all gateways at several fleet sizes.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
-use bn_fleet::{Shape, World, play};
+use bn_fleet::{FleetSpec, Simulation, run_scenario};
 use googletest::prelude::*;
 use std::time::Duration;
 
-/// Gateways of a small deployment, of a large one, and of one of twice its size.
+/// Numbers of gateways: a small deployment, a large one, and one twice as large.
 const SIZES: [usize; 3] = [6, 100, 200];
 const SERVERS: usize = 50;
 
-fn shape(gateways: usize, coordinators: usize) -> Shape {
-    Shape {
+fn lossless(gateways: usize, coordinators: usize) -> FleetSpec {
+    FleetSpec {
         gateways,
         coordinators,
-        lost: 0.0,
+        loss_rate: 0.0,
     }
 }
 
-/// Guards against copies of each change that grow with the coordinators.
+/// Guards against a number of copies of each change that grows with the number of coordinators.
 #[googletest::test]
-fn each_change_comes_to_a_gateway_twice_at_any_size() {
+fn a_gateway_receives_each_change_twice_at_any_size() {
     for coordinators in [3, 14] {
         for gateways in SIZES {
-            let report = play(1, shape(gateways, coordinators), SERVERS);
+            let report = run_scenario(1, lossless(gateways, coordinators), SERVERS);
 
-            // Two, and those of an ask that crosses a push or of a start.
+            // Two copies, plus those of polls that cross a push or come at start-up.
             let label = format!("{gateways} gateways, {coordinators} coordinators");
-            expect_that!(report.copies, lt(2.2), "{label}");
+            expect_that!(report.mean_copies, lt(2.2), "{label}");
             expect_that!(
-                report.latest,
+                report.max_delay,
                 some(le(Duration::from_millis(500))),
                 "{label}"
             );
@@ -37,80 +37,81 @@
     }
 }
 
-/// Guards against messages that grow faster than the fleet.
+/// Guards against traffic that grows faster than the fleet.
 #[googletest::test]
-fn twice_the_gateways_are_at_most_twice_the_messages_of_a_coordinator() {
-    let [_, one, twice] = SIZES.map(|gateways| play(1, shape(gateways, 9), SERVERS));
+fn twice_the_gateways_cause_at_most_twice_the_traffic_of_a_coordinator() {
+    let [_, base, doubled] = SIZES.map(|gateways| run_scenario(1, lossless(gateways, 9), SERVERS));
 
-    for (half, whole) in [
-        (one.start, twice.start),
-        (one.calm, twice.calm),
-        (one.changes, twice.changes),
+    for (base, doubled) in [
+        (base.startup, doubled.startup),
+        (base.idle, doubled.idle),
+        (base.changes, doubled.changes),
     ] {
-        expect_that!(whole.0.messages, le(2.2 * half.0.messages));
-        expect_that!(whole.0.bytes, le(2.2 * half.0.bytes));
-        expect_that!(whole.1.messages, le(1.1 * half.1.messages));
-        expect_that!(whole.1.bytes, le(1.1 * half.1.bytes));
+        expect_that!(doubled.0.messages, le(2.2 * base.0.messages));
+        expect_that!(doubled.0.bytes, le(2.2 * base.0.bytes));
+        expect_that!(doubled.1.messages, le(1.1 * base.1.messages));
+        expect_that!(doubled.1.bytes, le(1.1 * base.1.bytes));
     }
 }
 
 /// Guards against gateways that never learn of a backend server.
 #[googletest::test]
-fn all_changes_reach_all_gateways_though_messages_are_lost_and_coordinators_stop() {
+fn changes_reach_all_gateways_despite_lost_messages_and_stopped_coordinators() {
     for seed in 1..=4 {
-        let lossy = Shape {
-            lost: 0.1,
-            ..shape(60, 9)
+        let lossy = FleetSpec {
+            loss_rate: 0.1,
+            ..lossless(60, 9)
         };
-        let mut world = World::new(seed, lossy);
-        world.run(Duration::from_secs(3));
-        world.stop(seed as usize);
-        world.stop(seed as usize + 3);
+        let mut simulation = Simulation::new(seed, lossy);
+        simulation.run(Duration::from_secs(3));
+        simulation.stop(seed as usize);
+        simulation.stop(seed as usize + 3);
 
         for number in 0..SERVERS {
-            world.announce(number);
-            world.run(Duration::from_millis(100));
+            simulation.announce(number);
+            simulation.run(Duration::from_millis(100));
         }
-        world.run(Duration::from_secs(6));
+        simulation.run(Duration::from_secs(6));
 
         expect_that!(
-            world.latest(),
+            simulation.max_delay(),
             some(le(Duration::from_secs(4))),
             "seed {seed}"
         );
     }
 }
 
-/// Guards against marks of an earlier start that hide what coordinators learn after they come back empty.
+/// Guards against cursors of an earlier incarnation that hide what coordinators learn after an empty
+/// restart.
 #[googletest::test]
-fn all_learn_of_what_is_new_after_coordinators_came_back_empty() {
-    for emptied in [1, 5, 9] {
-        let mut world = World::new(1, shape(60, 9));
-        (0..SERVERS).for_each(|number| world.announce(number));
-        world.run(Duration::from_secs(3));
+fn new_servers_reach_all_gateways_after_coordinators_restart_empty() {
+    for restarted in [1, 5, 9] {
+        let mut simulation = Simulation::new(1, lossless(60, 9));
+        (0..SERVERS).for_each(|number| simulation.announce(number));
+        simulation.run(Duration::from_secs(3));
 
-        (0..emptied).for_each(|c| world.start_anew(c));
-        (SERVERS..2 * SERVERS).for_each(|number| world.announce(number));
-        world.run(Duration::from_secs(3));
+        (0..restarted).for_each(|c| simulation.restart(c));
+        (SERVERS..2 * SERVERS).for_each(|number| simulation.announce(number));
+        simulation.run(Duration::from_secs(3));
 
-        let latest = world.latest();
+        let max_delay = simulation.max_delay();
         expect_that!(
-            latest,
+            max_delay,
             some(le(Duration::from_millis(1_500))),
-            "{emptied} emptied"
+            "{restarted} restarted"
         );
     }
 }
 
-/// Guards against gateways whose coordinators are all among those that were killed.
+/// Guards against gateways that depend only on coordinators that were stopped.
 #[googletest::test]
-fn all_learn_of_what_is_new_though_more_than_half_of_the_coordinators_are_killed() {
-    let mut world = World::new(2, shape(60, 9));
-    world.run(Duration::from_secs(3));
+fn new_servers_reach_all_gateways_after_most_coordinators_stop() {
+    let mut simulation = Simulation::new(2, lossless(60, 9));
+    simulation.run(Duration::from_secs(3));
 
-    (0..6).for_each(|c| world.stop(c));
-    (0..SERVERS).for_each(|number| world.announce(number));
-    world.run(Duration::from_secs(6));
+    (0..6).for_each(|c| simulation.stop(c));
+    (0..SERVERS).for_each(|number| simulation.announce(number));
+    simulation.run(Duration::from_secs(6));
 
-    expect_that!(world.latest(), some(le(Duration::from_secs(4))));
+    expect_that!(simulation.max_delay(), some(le(Duration::from_secs(4))));
 }
