--- a/crates/coordinator/src/relays.rs
+++ b/crates/coordinator/src/relays.rs
@@ -1,53 +1,56 @@
-//! Asking engines through the relays beside them, where reports are fresh and counts and
-//! orders are free; straight over HTTP where a relay does not answer.
+//! Requests to engines through the relays next to them, where reports are fresh and counts and
+//! orders cost nothing; directly over HTTP if a relay does not answer.
 //!
-//! Few messages for many ranks: what is asked of a group at once goes to some relays, which
-//! pass it on to the others and collect the answers. A leader with a twentieth of a core that asked
-//! each rank itself would take a second for each switch of a large group.
+//! Few messages for many ranks: simultaneous requests to a group are sent to some of its relays,
+//! which forward them to the others and collect the responses. A leader with 5 % of a core that
+//! queried each rank itself would take a second for each switch of a large group.
 //!
-//! A relay has its engine's IP number and the port that all inboxes have. That one is
-//! dead, or cut off, shows by an ask without an answer: then its engine is called straight
-//! for a while.
+//! A relay has its engine's IP address and the port that all inboxes have. A relay that is dead or
+//! cut off is detected by a request without a response: its engine is then called directly for a
+//! while.
 
+use crate::engine_requests::decode_status;
 use bn_group::switch_controller::{EngineReport, Reply};
 use bn_wire::messages::{EngineAnswer, EngineView};
 use indexmap::IndexMap;
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-/// A relay that passes asks on gives up on the others after 150 ms; the rest is for a leader
-/// that is busy: one that takes relays for dead too soon calls their engines itself, and is busier
-/// still. What is asked of relays keeps no group waiting.
-const TIMEOUT: Duration = Duration::from_millis(600);
-/// The same for orders around a hold: a group may stand still until the next try, and the relay
-/// that passes them on has given up on the others by then.
-const HELD_TIMEOUT: Duration = Duration::from_millis(250);
-/// The same where they wait for copies: 400 ms more.
+/// A relay that forwards requests gives up on the others after 150 ms; the rest is for a busy
+/// leader: one that considers relays dead too early calls their engines itself, and gets busier
+/// still. Requests to relays keep no group waiting.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(600);
+/// Timeout of orders around a hold: the group may be stalled until the next attempt, and a relay
+/// that forwards them has given up on the others by then.
+const HOLD_TIMEOUT: Duration = Duration::from_millis(250);
+/// Timeout of polls that wait for copies: 400 ms more.
 const COPY_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Up to so many asks at once need nobody to pass them on.
-const FEW: usize = 3;
-/// Bytes that a relay passes on at once: 20 ms on the slowest links (6 Mbit/s).
-const PASSED_ON: usize = 16 << 10;
-/// Ranks of a group that are counted, about: at 500 requests a second some 10,000 tokens a look.
-const COUNTED: usize = 48;
-/// A relay that did not answer once is passed over for so long, and for twice as long each further
-/// time in a row. One that is dead or cut off is found out soon enough. Where many are silent at once
-/// it is rather the asker that was held up or whose links are new: a new leader that passed all of them
-/// over would call every engine itself, and a group that was left held would stand meanwhile.
-const FIRST_PASS: Duration = Duration::from_millis(600);
-/// A relay is passed over for so long at most: a restart takes a second or two, a cut some more.
-const LONGEST_PASS: Duration = Duration::from_secs(4);
+/// Up to this many simultaneous requests are not forwarded.
+const MAX_UNFORWARDED: usize = 3;
+/// Bytes that a relay forwards at once: 20 ms on the slowest links (6 Mbit/s).
+const FORWARD_BYTES: usize = 16 << 10;
+/// Approximate number of ranks of a group that report counts: at 500 requests a second about 10,000
+/// tokens per poll.
+const COUNT_SAMPLE: usize = 48;
+/// First time for which a relay that did not answer is skipped; it doubles with each further
+/// failure in a row. One that is dead or cut off is still detected soon enough. If many are silent
+/// at once, the leader itself was probably delayed or its links are new: a new leader that skipped
+/// all of them would call every engine itself, and a group that is still held would be stalled
+/// meanwhile.
+const MIN_SKIP_TIME: Duration = Duration::from_millis(600);
+/// Longest time for which a relay is skipped: a restart takes a second or two, a cut somewhat more.
+const MAX_SKIP_TIME: Duration = Duration::from_secs(4);
 
-/// A relay that answered by its own link within this time has one that stands, as far as can be
-/// known: groups are looked at every 0.15 s, and heads are the same ones.
-const STANDING: Duration = Duration::from_secs(2);
+/// A relay that responded over its own link within this time is connected, as far as can be known:
+/// groups are polled every 0.15 s, and through the same relays each time.
+const CONNECTED_TIME: Duration = Duration::from_secs(2);
 
-/// What an ask is about.
+/// Kind of a request to a relay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum About {
-    /// A look at the engine.
+pub enum RequestKind {
+    /// A poll of the engine.
     Look,
-    /// A look once copies are complete.
+    /// A poll that is answered once copies are complete.
     Copies,
     /// An order.
     Order,
@@ -55,204 +58,209 @@
     Held,
 }
 
-/// A lock-step group of a service; without a name, what asks all engines of the service for
-/// their groups.
+/// A lock-step group of a service; with an empty name, group discovery of the service's engines.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct GroupId {
     /// Its service.
     pub service: String,
-    /// Its name there.
+    /// Its name within the service.
     pub name: String,
 }
 
-/// An ask under way.
+/// A request without a response so far.
 #[derive(Debug, Clone)]
-pub struct Ask {
-    /// Whose call it is.
+pub struct PendingRequest {
+    /// Group that the call belongs to.
     pub group: GroupId,
-    /// Number of the call.
+    /// Id of the call.
     pub call: u64,
-    /// Inbox of the relay beside the engine.
+    /// Inbox of the relay next to the engine.
     pub relay: SocketAddr,
-    /// Inbox of the relay that was asked to pass it on, or the same.
-    pub head: SocketAddr,
-    /// What it is about.
-    pub about: About,
-    due: Duration,
+    /// Inbox of the relay that was asked to forward it, or the same.
+    pub forwarder: SocketAddr,
+    /// Its kind.
+    pub kind: RequestKind,
+    deadline: Duration,
 }
 
-/// Asks to relays, and which of them are passed over.
+/// Pending requests to relays, and the relays that are skipped.
 #[derive(Debug, Default)]
 pub struct Relays {
-    asks: IndexMap<u64, Ask>,
-    silent: IndexMap<IpAddr, Silence>,
-    /// When relays that were asked themselves answered last.
-    heads: IndexMap<SocketAddr, Duration>,
+    requests: IndexMap<u64, PendingRequest>,
+    skipped: IndexMap<IpAddr, Skip>,
+    /// Last response of relays that were asked directly.
+    responses: IndexMap<SocketAddr, Duration>,
 }
 
-/// How long a relay is passed over, and until when.
+/// How long a relay is skipped, and until when.
 #[derive(Debug, Clone, Copy)]
-struct Silence {
+struct Skip {
     time: Duration,
     until: Duration,
 }
 
 impl Relays {
-    /// The relay beside an engine, unless it was silent of late.
-    pub fn beside(&self, now: Duration, engine: SocketAddr, port: u16) -> Option<SocketAddr> {
-        let silence = self.silent.get(&engine.ip());
-        let passed_over = silence.is_some_and(|s| now < s.until);
-        (!passed_over).then(|| SocketAddr::new(engine.ip(), port))
+    /// The relay next to an engine, unless it is being skipped.
+    pub fn relay_of(&self, now: Duration, engine: SocketAddr, port: u16) -> Option<SocketAddr> {
+        let skip = self.skipped.get(&engine.ip());
+        let is_skipped = skip.is_some_and(|s| now < s.until);
+        (!is_skipped).then(|| SocketAddr::new(engine.ip(), port))
     }
 
-    /// An ask with this number is on its way to a relay, by way of
-    /// `head`; `call` is that of a group's pilot.
-    pub fn asked(
+    /// Records a request with this id that was sent to a relay by way of `forwarder`; `call` is the
+    /// id within the group's switch controller.
+    pub fn record_request(
         &mut self,
         now: Duration,
-        number: u64,
+        id: u64,
         call: (&GroupId, u64),
-        (relay, head): (SocketAddr, SocketAddr),
-        about: About,
+        (relay, forwarder): (SocketAddr, SocketAddr),
+        kind: RequestKind,
     ) {
-        let time = match about {
-            About::Copies => COPY_TIMEOUT,
-            About::Look | About::Order => TIMEOUT,
-            About::Held => HELD_TIMEOUT,
+        let timeout = match kind {
+            RequestKind::Copies => COPY_TIMEOUT,
+            RequestKind::Look | RequestKind::Order => REQUEST_TIMEOUT,
+            RequestKind::Held => HOLD_TIMEOUT,
         };
-        let ask = Ask {
+        let request = PendingRequest {
             group: call.0.clone(),
             call: call.1,
             relay,
-            head,
-            about,
-            due: now + time,
+            forwarder,
+            kind,
+            deadline: now + timeout,
         };
-        self.asks.insert(number, ask);
+        self.requests.insert(id, request);
     }
 
-    /// Whose ask an answer is to.
-    pub fn answered(&mut self, now: Duration, number: u64) -> Option<Ask> {
-        let ask = self.asks.swap_remove(&number)?;
-        self.heads.insert(ask.head, now);
-        Some(ask)
+    /// The pending request that a response belongs to.
+    pub fn take_request(&mut self, now: Duration, id: u64) -> Option<PendingRequest> {
+        let request = self.requests.swap_remove(&id)?;
+        self.responses.insert(request.forwarder, now);
+        Some(request)
     }
 
-    /// A relay whose link stands, other than that one: it can pass an ask on to that one.
-    pub fn standing(&self, now: Duration, relay: SocketAddr) -> Option<SocketAddr> {
-        let silent = |a: &SocketAddr| self.silent.get(&a.ip()).is_some_and(|s| now < s.until);
-        let heard = self.heads.iter();
-        let heard = heard.filter(|(a, at)| **a != relay && now < **at + STANDING && !silent(a));
-        heard.max_by_key(|(_, at)| **at).map(|(a, _)| *a)
+    /// A connected relay other than `relay`, which can forward a request to it.
+    pub fn connected_relay(&self, now: Duration, relay: SocketAddr) -> Option<SocketAddr> {
+        let skipped = |a: &SocketAddr| self.skipped.get(&a.ip()).is_some_and(|s| now < s.until);
+        let connected = self.responses.iter();
+        let connected =
+            connected.filter(|(a, at)| **a != relay && now < **at + CONNECTED_TIME && !skipped(a));
+        connected.max_by_key(|(_, at)| **at).map(|(a, _)| *a)
     }
 
-    /// A relay did not answer. Asks that were out together count once.
-    pub fn pass_over(&mut self, now: Duration, relay: SocketAddr) {
-        let before = self.silent.get(&relay.ip());
+    /// Records that a relay did not answer. Simultaneous requests count once.
+    pub fn record_silence(&mut self, now: Duration, relay: SocketAddr) {
+        let before = self.skipped.get(&relay.ip());
         if before.is_some_and(|s| now < s.until) {
             return;
         }
-        let time = before.map_or(FIRST_PASS, |s| (s.time * 2).min(LONGEST_PASS));
+        let time = before.map_or(MIN_SKIP_TIME, |s| (s.time * 2).min(MAX_SKIP_TIME));
         let until = now + time;
-        self.silent.insert(relay.ip(), Silence { time, until });
+        self.skipped.insert(relay.ip(), Skip { time, until });
     }
 
-    /// A relay answered.
-    pub fn heard(&mut self, relay: SocketAddr) {
-        self.silent.swap_remove(&relay.ip());
+    /// Records that a relay answered.
+    pub fn record_response(&mut self, relay: SocketAddr) {
+        self.skipped.swap_remove(&relay.ip());
     }
 
-    /// Takes out what is overdue; its relays are passed over from now on.
-    pub fn overdue(&mut self, now: Duration) -> Vec<Ask> {
+    /// Removes overdue requests; their relays are skipped from now on.
+    pub fn take_overdue(&mut self, now: Duration) -> Vec<PendingRequest> {
         let due: Vec<u64> = self
-            .asks
+            .requests
             .iter()
-            .filter(|(_, a)| a.due <= now)
+            .filter(|(_, r)| r.deadline <= now)
             .map(|(n, _)| *n)
             .collect();
-        let asks: Vec<Ask> = due
+        let requests: Vec<PendingRequest> = due
             .iter()
-            .filter_map(|n| self.asks.swap_remove(n))
+            .filter_map(|n| self.requests.swap_remove(n))
             .collect();
-        for ask in &asks {
-            self.pass_over(now, ask.head);
+        for request in &requests {
+            self.record_silence(now, request.forwarder);
         }
-        // Remembered for some time after it is asked again, to tell the next silence from a first one.
-        self.silent.retain(|_, s| now < s.until + LONGEST_PASS);
-        self.heads.retain(|_, at| now < *at + STANDING);
-        asks
+        // Kept for some time after the next attempt, to tell a repeated failure from a first one.
+        self.skipped.retain(|_, s| now < s.until + MAX_SKIP_TIME);
+        self.responses.retain(|_, at| now < *at + CONNECTED_TIME);
+        requests
     }
 }
 
-/// How many of `count` asks one relay gets, where each is passed on with `bytes`: about as many
-/// relays are asked as each asks others, which makes for the fewest messages at the busiest; but
-/// no more than its link takes in a moment.
-pub fn part(count: usize, bytes: usize) -> usize {
-    let fewest = match count {
-        0..=FEW => 1,
-        many => many.isqrt() + 1,
+/// How many of `count` requests are sent to one relay, if it forwards `bytes` with each: about as
+/// many relays get a batch as each forwards to, which gives the fewest messages at the busiest
+/// process; but no more than its link carries in a moment.
+pub fn batch_size(count: usize, bytes: usize) -> usize {
+    let size = match count {
+        0..=MAX_UNFORWARDED => 1,
+        count => count.isqrt() + 1,
     };
-    let others = PASSED_ON.checked_div(bytes).unwrap_or(fewest);
-    fewest.min(1 + others)
+    let max_forwarded = FORWARD_BYTES.checked_div(bytes).unwrap_or(size);
+    size.min(1 + max_forwarded)
 }
 
-/// Asks in parts of at most `part`, each part of one failure domain, and those of a domain about equal: what
-/// relays pass on and collect then stays within their domain, where links are short and are cut off
-/// together.
-pub fn parts<T>(asks: Vec<T>, part: usize, domain: impl Fn(&T) -> &str) -> Vec<Vec<T>> {
-    let mut near: IndexMap<String, Vec<T>> = IndexMap::new();
-    for ask in asks {
-        let domain = domain(&ask).to_string();
-        near.entry(domain).or_default().push(ask);
+/// Splits requests into batches of at most `size`, each within one failure domain and of about
+/// equal size within it: what relays forward and collect then stays within their domain, where
+/// links are short and are cut off together.
+pub fn batches<T>(requests: Vec<T>, size: usize, domain: impl Fn(&T) -> &str) -> Vec<Vec<T>> {
+    let mut by_domain: IndexMap<String, Vec<T>> = IndexMap::new();
+    for request in requests {
+        let domain = domain(&request).to_string();
+        by_domain.entry(domain).or_default().push(request);
     }
-    near.into_values()
-        .flat_map(|asks| split(asks, part))
+    by_domain
+        .into_values()
+        .flat_map(|requests| split(requests, size))
         .collect()
 }
 
-/// Parts of about equal size, of at most `part`.
-fn split<T>(asks: Vec<T>, part: usize) -> Vec<Vec<T>> {
-    let count = asks.len().div_ceil(part.max(1)).max(1);
-    let size = asks.len().div_ceil(count);
-    let mut rest = asks.into_iter();
-    let parts = (0..count).map(|_| rest.by_ref().take(size).collect::<Vec<T>>());
-    parts.filter(|p| !p.is_empty()).collect()
+/// Splits into batches of about equal size, of at most `max_size`.
+fn split<T>(requests: Vec<T>, max_size: usize) -> Vec<Vec<T>> {
+    let count = requests.len().div_ceil(max_size.max(1)).max(1);
+    let size = requests.len().div_ceil(count);
+    let mut remaining = requests.into_iter();
+    let batches = (0..count).map(|_| remaining.by_ref().take(size).collect::<Vec<T>>());
+    batches.filter(|p| !p.is_empty()).collect()
 }
 
-/// Whether the look at one of `count` engines takes counts, too. Requests are spread over ranks
-/// whatever they are about, so that some tell what all choose; counts of 3,840 experts are 4 KB, and
-/// take the links of those that collect them from 13 others 70 ms a look, by their size.
-pub fn is_counted(at: usize, count: usize) -> bool {
-    at.is_multiple_of(count.div_ceil(COUNTED).max(1))
+/// Whether the poll of one of `count` engines includes counts. Requests are spread over the ranks
+/// regardless of content, so that a sample represents all; counts of 3,840 experts have 4 KB, and
+/// sending those of 13 others to the relay that collects them takes its link 70 ms per poll.
+pub fn reports_counts(index: usize, count: usize) -> bool {
+    index.is_multiple_of(count.div_ceil(COUNT_SAMPLE).max(1))
 }
 
-/// What an answer says to the pilot; `lately` are counts that came beside it.
-pub(crate) fn read(about: About, answer: EngineAnswer, lately: Option<Vec<u64>>) -> Reply {
+/// Reply to the switch controller for a response; `recent_counts` came with it.
+pub(crate) fn decode(
+    kind: RequestKind,
+    answer: EngineAnswer,
+    recent_counts: Option<Vec<u64>>,
+) -> Reply {
     let silent = answer.status == 0;
-    match (about, answer.view) {
+    match (kind, answer.view) {
         _ if silent => Reply::Silent,
-        (About::Order | About::Held, _) => crate::asks::read_status(answer.status),
-        (_, Some(seen)) => Reply::Report(EngineReport {
-            recent_counts: lately,
-            ..view(seen)
+        (RequestKind::Order | RequestKind::Held, _) => decode_status(answer.status),
+        (_, Some(view)) => Reply::Report(EngineReport {
+            recent_counts,
+            ..to_report(view)
         }),
         (_, None) => Reply::Odd,
     }
 }
 
-fn view(seen: EngineView) -> EngineReport {
+fn to_report(view: EngineView) -> EngineReport {
     EngineReport {
-        group: seen.group,
-        epoch: seen.epoch,
-        rank: seen.rank,
-        open: seen.open,
-        size: seen.size,
-        pass: seen.pass,
-        map: seen.map,
-        prepared: seen.prepared,
-        armed: seen.armed,
-        held: seen.held,
-        slowdown: seen.pace,
+        group: view.group,
+        epoch: view.epoch,
+        rank: view.rank,
+        open: view.open,
+        size: view.size,
+        pass: view.pass,
+        map: view.map,
+        prepared: view.prepared,
+        armed: view.armed,
+        held: view.held,
+        slowdown: view.pace,
         fresh: true,
         recent_counts: None,
     }
--- a/crates/fleet/src/coordinator.rs
+++ b/crates/fleet/src/coordinator.rs
@@ -2,7 +2,7 @@
 
 use crate::traffic::Traffic;
 use bn_coordinator::Subscribers;
-use bn_gateway::{Position, Telling};
+use bn_gateway::{PollState, UpdateRange};
 use bn_registry::{Cursor, Record, Registry};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -25,7 +25,7 @@
 /// One update that is sent to several gateways.
 pub(crate) struct Push {
     pub(crate) inboxes: Vec<SocketAddr>,
-    pub(crate) update: Telling,
+    pub(crate) range: UpdateRange,
     pub(crate) changed: Rc<[Record]>,
 }
 
@@ -59,10 +59,10 @@
     /// Updates that are due to subscribers.
     pub(crate) fn push(&mut self, now: Duration) -> Vec<Push> {
         let cursor = self.registry.cursor();
-        let behind = self.subscribers.behind(now, cursor, false);
+        let behind = self.subscribers.take_behind(now, cursor, false);
         let push = |(after, inboxes): (Cursor, Vec<SocketAddr>)| Push {
             inboxes,
-            update: self.update(after, cursor),
+            range: self.range_since(after, cursor),
             changed: self.registry.changed_since(after).into(),
         };
         behind.into_iter().map(push).collect()
@@ -82,27 +82,27 @@
     pub(crate) fn answer_poll(
         &mut self,
         gateway: SocketAddr,
-        position: Position,
-    ) -> (Telling, Rc<[Record]>) {
-        if position.brief {
-            self.subscribers.drop(gateway);
-            return (self.update(0, 0), Rc::default());
+        poll_state: PollState,
+    ) -> (UpdateRange, Rc<[Record]>) {
+        if poll_state.omit_registrations {
+            self.subscribers.remove(gateway);
+            return (self.range_since(0, 0), Rc::default());
         }
         // A cursor of an earlier incarnation is meaningless in this one.
-        let known = match position.incarnation == self.incarnation {
-            true => position.mark,
+        let known = match poll_state.incarnation == self.incarnation {
+            true => poll_state.cursor,
             false => 0,
         };
         let cursor = self.registry.cursor();
-        self.subscribers.told(gateway, cursor);
+        self.subscribers.record_sent(gateway, cursor);
         let changed = self.registry.changed_since(known);
-        (self.update(known, cursor), changed.into())
+        (self.range_since(known, cursor), changed.into())
     }
 
-    fn update(&self, after: Cursor, cursor: Cursor) -> Telling {
-        Telling {
+    fn range_since(&self, after: Cursor, cursor: Cursor) -> UpdateRange {
+        UpdateRange {
             incarnation: self.incarnation,
-            mark: cursor,
+            cursor,
             after,
         }
     }
--- a/crates/fleet/src/gateway.rs
+++ b/crates/fleet/src/gateway.rs
@@ -2,7 +2,7 @@
 
 use crate::simulation::gateway_inbox;
 use crate::traffic::Traffic;
-use bn_gateway::{Position, Sources, Telling};
+use bn_gateway::{PollState, Sources, UpdateRange};
 use bn_registry::{BackendId, Record};
 use indexmap::IndexMap;
 use std::net::SocketAddr;
@@ -40,14 +40,14 @@
         }
     }
 
-    /// The coordinator that it polls now, and the position that it polls from.
-    pub(crate) fn poll(&mut self, now: Duration) -> Option<(SocketAddr, Position)> {
+    /// The coordinator that it polls now, and the state of the poll.
+    pub(crate) fn poll(&mut self, now: Duration) -> Option<(SocketAddr, PollState)> {
         if now < self.next_poll {
             return None;
         }
-        self.next_poll = now + self.sources.gap();
-        let to = self.sources.turn()?;
-        Some((to, self.sources.asked(to)))
+        self.next_poll = now + self.sources.poll_interval();
+        let to = self.sources.next_poll()?;
+        Some((to, self.sources.on_poll(to)))
     }
 
     /// Processes an update from a coordinator.
@@ -55,10 +55,10 @@
         &mut self,
         now: Duration,
         from: SocketAddr,
-        update: Telling,
+        range: UpdateRange,
         records: &[Record],
     ) {
-        self.sources.heard(from, update);
+        self.sources.on_update(from, range);
         for record in records {
             let new = KnownServer {
                 copies: 0,
--- a/crates/fleet/src/messages.rs
+++ b/crates/fleet/src/messages.rs
@@ -1,6 +1,6 @@
 //! Messages between the simulated processes, and their encoded sizes.
 
-use bn_gateway::{Position, Telling};
+use bn_gateway::{PollState, UpdateRange};
 use bn_registry::Record;
 use bn_wire::messages::envelope::Body;
 use bn_wire::messages::{Envelope, News, NewsAsk, Registration, Role};
@@ -15,13 +15,13 @@
     Poll {
         gateway: usize,
         coordinator: usize,
-        position: Position,
+        poll_state: PollState,
     },
     /// A coordinator answers a gateway's poll, or pushes an update to it.
     Update {
         coordinator: usize,
         gateway: usize,
-        update: Telling,
+        range: UpdateRange,
         changed: Rc<[Record]>,
     },
     /// One coordinator pushes records to another.
@@ -33,15 +33,15 @@
 }
 
 /// Encoded size of a poll in bytes.
-pub(crate) fn poll_size(gateway: SocketAddr, position: &Position) -> u64 {
+pub(crate) fn poll_size(gateway: SocketAddr, poll_state: &PollState) -> u64 {
     let poll = NewsAsk {
         callers: gateway.to_string(),
         domain: "domain-1".into(),
         ready: true,
         version: 1,
-        source: position.incarnation,
-        mark: position.mark,
-        brief: position.brief,
+        source: poll_state.incarnation,
+        mark: poll_state.cursor,
+        brief: poll_state.omit_registrations,
         named: 1 << 31,
         ..NewsAsk::default()
     };
@@ -52,13 +52,13 @@
 pub(crate) fn update_size(
     from: SocketAddr,
     coordinators: &[SocketAddr],
-    update: &Telling,
+    range: &UpdateRange,
     changed: &[Record],
 ) -> u64 {
     let news = News {
         version: 1,
-        mark: update.mark,
-        after: update.after,
+        mark: range.cursor,
+        after: range.after,
         coordinators: coordinators.iter().map(ToString::to_string).collect(),
         gateways: 24,
         current: true,
--- a/crates/fleet/src/simulation.rs
+++ b/crates/fleet/src/simulation.rs
@@ -5,7 +5,7 @@
 use crate::messages::{Packet, poll_size, update_size};
 use crate::traffic::{Traffic, TrafficRate, peak_rate};
 use bn_backpressure::Limit;
-use bn_gateway::Position;
+use bn_gateway::PollState;
 use bn_registry::{Condition, Record};
 use indexmap::IndexMap;
 use rand::rngs::SmallRng;
@@ -55,8 +55,8 @@
             .collect();
         let seeds: Vec<SocketAddr> = inboxes.iter().copied().take(SEED_COUNT).collect();
         let gateway = |n: usize| {
-            let due = Duration::from_millis(rng.random_range(0..100));
-            Gateway::new(n, seeds.clone(), rng.random_range(0..1 << 16), due)
+            let next_poll = Duration::from_millis(rng.random_range(0..100));
+            Gateway::new(n, seeds.clone(), rng.random_range(0..1 << 16), next_poll)
         };
         let gateways: Vec<Gateway> = (0..spec.gateways).map(gateway).collect();
         let by_inbox = gateways.iter().enumerate().map(|(n, g)| (g.inbox, n));
@@ -169,7 +169,7 @@
     fn poll(&mut self, at: usize) {
         let now = self.now;
         let polled = self.gateways.get_mut(at).and_then(|g| g.poll(now));
-        let Some((to, position)) = polled else {
+        let Some((to, poll_state)) = polled else {
             return;
         };
         let coordinator = self.inboxes.iter().position(|i| *i == to);
@@ -177,7 +177,7 @@
             self.send(Packet::Poll {
                 gateway: at,
                 coordinator,
-                position,
+                poll_state,
             });
         }
     }
@@ -193,7 +193,7 @@
             packets.extend(gateways.map(|gateway| Packet::Update {
                 coordinator: at,
                 gateway: *gateway,
-                update: push.update,
+                range: push.range,
                 changed: push.changed.clone(),
             }));
         }
@@ -223,19 +223,19 @@
             Packet::Poll {
                 gateway,
                 coordinator,
-                position,
+                poll_state,
             } => {
                 let inbox = gateway_inbox(*gateway);
-                (*coordinator, *gateway, poll_size(inbox, position))
+                (*coordinator, *gateway, poll_size(inbox, poll_state))
             }
             Packet::Update {
                 coordinator,
                 gateway,
-                update,
+                range,
                 changed,
             } => {
                 let inbox = coordinator_inbox(*coordinator);
-                let bytes = update_size(inbox, &self.inboxes, update, changed);
+                let bytes = update_size(inbox, &self.inboxes, range, changed);
                 (*coordinator, *gateway, bytes)
             }
             Packet::PeerUpdate { .. } => return,
@@ -260,32 +260,32 @@
             Packet::Poll {
                 gateway,
                 coordinator,
-                position,
-            } => self.answer(gateway, coordinator, position),
+                poll_state,
+            } => self.answer(gateway, coordinator, poll_state),
             Packet::Update {
                 coordinator,
                 gateway,
-                update,
+                range,
                 changed,
             } => {
                 let inbox = coordinator_inbox(coordinator);
                 if let Some(gateway) = self.gateways.get_mut(gateway) {
-                    gateway.receive(now, inbox, update, &changed);
-                    gateway.sources.follow(&self.inboxes);
+                    gateway.receive(now, inbox, range, &changed);
+                    gateway.sources.set_members(&self.inboxes);
                 }
             }
         }
     }
 
-    fn answer(&mut self, gateway: usize, at: usize, position: Position) {
+    fn answer(&mut self, gateway: usize, at: usize, poll_state: PollState) {
         let Some(coordinator) = self.coordinators.get_mut(at).filter(|c| !c.stopped) else {
             return;
         };
-        let (update, changed) = coordinator.answer_poll(gateway_inbox(gateway), position);
+        let (range, changed) = coordinator.answer_poll(gateway_inbox(gateway), poll_state);
         self.send(Packet::Update {
             coordinator: at,
             gateway,
-            update,
+            range,
             changed,
         });
     }
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -1,5 +1,5 @@
-//! The control role: the replicated log, the settled configuration it means, and
-//! leases of it to entries. One thread owns all of this.
+//! The control role: the replicated log, the configuration that it defines, and configuration
+//! leases for entries. One thread owns all of this state.
 
 mod groups;
 pub(crate) mod lease;
@@ -23,54 +23,54 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest wait for an event.
+/// Maximum wait for an event.
 const TICK: Duration = Duration::from_millis(10);
-/// Events taken before one write: group commit.
-const GROUP: usize = 512;
-/// Entries after which a snapshot replaces the log.
+/// Maximum number of events handled before one write (group commit).
+const MAX_BATCH: usize = 512;
+/// Number of log entries after which a snapshot replaces them.
 const SNAPSHOT_ENTRIES: u64 = 1000;
 
-/// What the control thread is told.
+/// Events handled by the control thread.
 pub(crate) enum Event {
-    /// A message of another process.
+    /// A message from another process.
     Message(Box<Envelope>),
-    /// Begin a graceful stop.
+    /// Start a graceful shutdown.
     Stop,
 }
 
-/// The control role's state.
+/// State of the control role.
 pub(crate) struct Control {
     common: Common,
-    quorum: Replica,
+    replica: Replica,
     store: Store,
     state: State,
-    /// Index of the last entry applied, of whatever kind.
+    /// Index of the last applied entry of any kind.
     applied: u64,
-    /// The first command, for a system that has none yet.
+    /// Initial command for a system without any.
     seed: Option<Command>,
     leases: lease::Leases,
-    waits: propose::Waits,
+    proposals: propose::Proposals,
     groups: groups::Groups,
-    /// Steps that groups may run ahead of their slowest rank.
+    /// Number of steps that groups may run ahead of their slowest rank.
     grant_steps: u64,
-    /// Where each process was last heard from.
+    /// Latest inbox of each process.
     inboxes: HashMap<String, SocketAddr>,
     role: Role,
 }
 
 impl Control {
-    /// Opens the data folder and starts the replica from it.
+    /// Opens the data directory and starts the replica from it.
     pub(crate) fn open(common: Common, conf: &bn_conf::Control) -> Result<Control> {
         let (store, loaded) = Store::open(&conf.data, rand::random::<u64>() | 1, Disk::default())?;
-        let what = format!(
+        let detail = format!(
             "identity {:016x}, {} entries, snapshot at {}, {} torn bytes cut",
             loaded.identity,
             loaded.entries.len(),
             loaded.snapshot.as_ref().map_or(0, |s| s.index),
             loaded.truncated_bytes
         );
-        common.events.note("data", what);
-        let first = |p: &bn_conf::Peer| {
+        common.events.note("data", detail);
+        let initial_member = |p: &bn_conf::Peer| {
             let address = p.inbox.to_string();
             (
                 p.id.clone(),
@@ -81,10 +81,10 @@
                 },
             )
         };
-        let setup = ReplicaConfig {
+        let config = ReplicaConfig {
             id: common.id.clone(),
             identity: loaded.identity,
-            initial_members: conf.peers.iter().map(first).collect(),
+            initial_members: conf.peers.iter().map(initial_member).collect(),
             timing: Timing::default(),
             seed: rand::random(),
         };
@@ -93,17 +93,17 @@
             Some(s) => (decode_state(&s.state)?, s.index),
             None => (State::default(), 0),
         };
-        let quorum = Replica::new(setup, restored, common.clock.now());
-        let role = quorum.role();
+        let replica = Replica::new(config, restored, common.clock.now());
+        let role = replica.role();
         Ok(Control {
             common,
-            quorum,
+            replica,
             store,
             state,
             applied,
             seed: conf.seed.as_deref().map(seed).transpose()?,
             leases: lease::Leases::default(),
-            waits: propose::Waits::default(),
+            proposals: propose::Proposals::default(),
             groups: groups::Groups::default(),
             grant_steps: conf.grant_steps,
             inboxes: HashMap::new(),
@@ -111,24 +111,24 @@
         })
     }
 
-    /// Runs until told to stop, or the disk fails.
-    pub(crate) fn run(mut self, ring: &Receiver<Event>) -> Result<()> {
+    /// Runs until it is stopped or the disk fails.
+    pub(crate) fn run(mut self, channel: &Receiver<Event>) -> Result<()> {
         loop {
-            match ring.recv_timeout(TICK) {
+            match channel.recv_timeout(TICK) {
                 Ok(Event::Stop) | Err(RecvTimeoutError::Disconnected) => return Ok(()),
-                Ok(Event::Message(m)) => self.take(*m),
+                Ok(Event::Message(m)) => self.on_message(*m),
                 Err(RecvTimeoutError::Timeout) => {}
             }
-            for event in ring.try_iter().take(GROUP) {
+            for event in channel.try_iter().take(MAX_BATCH) {
                 match event {
                     Event::Stop => return Ok(()),
-                    Event::Message(m) => self.take(*m),
+                    Event::Message(m) => self.on_message(*m),
                 }
             }
             let now = self.now();
-            self.quorum.tick(now);
+            self.replica.tick(now);
             self.flush()?;
-            self.lead(now);
+            self.run_leader(now);
             self.flush()?;
         }
     }
@@ -137,7 +137,7 @@
         self.common.clock.now()
     }
 
-    fn take(&mut self, envelope: Envelope) {
+    fn on_message(&mut self, envelope: Envelope) {
         let Ok(inbox) = envelope.inbox.parse::<SocketAddr>() else {
             return;
         };
@@ -146,21 +146,21 @@
             Some(Body::Quorum(m)) => {
                 if let Ok(message) = Message::try_from(m) {
                     let now = self.now();
-                    self.quorum.receive(now, &envelope.from, message);
+                    self.replica.receive(now, &envelope.from, message);
                 }
             }
-            Some(Body::LeaseAsk(ask)) => self.on_lease_ask(&envelope.from, inbox, &ask),
+            Some(Body::LeaseAsk(request)) => self.on_lease_request(&envelope.from, inbox, &request),
             Some(Body::Proposal(p)) => self.on_proposal(inbox, p),
             Some(Body::SwitchReport(r)) => self.on_switch_report(envelope.incarnation, inbox, r),
             _ => {}
         }
     }
 
-    /// Stores, then sends, then applies, until nothing is left to do. A message that
-    /// left before the sync could acknowledge what a crash then forgets.
+    /// Stores, then sends, then applies the replica's output until there is none. A message sent
+    /// before the sync could acknowledge entries that a crash then loses.
     fn flush(&mut self) -> Result<()> {
         loop {
-            let out = self.quorum.take_output();
+            let out = self.replica.take_output();
             if out == Output::default() {
                 return Ok(());
             }
@@ -199,7 +199,7 @@
 
     fn send(&self, to: &str, message: &Message) {
         let member = self
-            .quorum
+            .replica
             .members()
             .get(to)
             .and_then(|m| m.address.parse().ok());
@@ -222,27 +222,28 @@
             Payload::Command(bytes) => match wire::Command::decode(&bytes[..]) {
                 Ok(command) => {
                     let outcome = self.state.apply(entry.index, &command.into());
-                    self.answer_wait(entry.index, &outcome);
+                    self.complete_proposals(entry.index, &outcome);
                 }
-                // Every replica skips it alike.
-                Err(_) => log::error!("entry {} does not decode", entry.index),
+                // Every replica skips it in the same way.
+                Err(_) => log::error!("cannot decode log entry {}", entry.index),
             },
         }
     }
 
     fn compact(&mut self) -> Result<()> {
-        if self.applied < self.quorum.snapshot().index + SNAPSHOT_ENTRIES {
+        if self.applied < self.replica.snapshot().index + SNAPSHOT_ENTRIES {
             return Ok(());
         }
         let state = wire::State::from(&self.state).encode_to_vec();
-        if let Some(snapshot) = self.quorum.compact(self.applied, state) {
-            let rest = self
-                .quorum
+        if let Some(snapshot) = self.replica.compact(self.applied, state) {
+            let remaining = self
+                .replica
                 .entries_after(snapshot.index)
                 .iter()
                 .map(Into::into)
                 .collect();
-            self.store.replace_snapshot(&(&snapshot).into(), rest)?;
+            self.store
+                .replace_snapshot(&(&snapshot).into(), remaining)?;
             self.common
                 .events
                 .note("snapshot", format!("taken at {}", snapshot.index));
@@ -250,42 +251,42 @@
         Ok(())
     }
 
-    /// What a leader does with each turn.
-    fn lead(&mut self, now: Duration) {
-        let role = self.quorum.role();
+    /// Performs the leader's periodic duties and tracks role changes.
+    fn run_leader(&mut self, now: Duration) {
+        let role = self.replica.role();
         if role != self.role {
             self.role = role;
-            let detail = format!("{role:?} in term {}", self.quorum.term());
+            let detail = format!("{role:?} in term {}", self.replica.term());
             self.common.events.note("role", detail);
             if role == Role::Leader {
                 self.leases.start(now);
-                self.groups.start(self.quorum.term());
+                self.groups.start(self.replica.term());
             }
         }
         if role != Role::Leader {
-            self.waits.clear();
+            self.proposals.clear();
             return;
         }
-        if self.quorum.holds_lease(now) {
-            self.sow();
+        if self.replica.holds_lease(now) {
+            self.propose_seed();
             self.reconcile_members();
             self.answer_in_force(now);
             self.tick_groups(now);
         }
     }
 
-    /// Proposes the first statements where no command was ever applied.
-    fn sow(&mut self) {
-        let bare = self.state.revision == 0 && self.applied == self.quorum.last_index();
-        if !bare {
+    /// Proposes the initial statements if no command was ever applied.
+    fn propose_seed(&mut self) {
+        let unused = self.state.revision == 0 && self.applied == self.replica.last_index();
+        if !unused {
             return;
         }
         if let Some(seed) = self.seed.take() {
             let bytes = wire::Command::from(&seed).encode_to_vec();
-            let taken = self.quorum.propose(bytes);
+            let proposed = self.replica.propose(bytes);
             self.common
                 .events
-                .note("seed", format!("proposed: {taken:?}"));
+                .note("seed", format!("proposed: {proposed:?}"));
         }
     }
 }
@@ -322,7 +323,7 @@
         .context(DecodeSnafu { what: "state" })
 }
 
-/// Milliseconds of the clock, for tables.
-fn shown(clock: &Clock, at: Duration) -> f64 {
+/// Milliseconds until `at`, for tables.
+fn remaining_ms(clock: &Clock, at: Duration) -> f64 {
     ms(at.saturating_sub(clock.now())) as f64
 }
