--- a/crates/fleet/src/traffic.rs
+++ b/crates/fleet/src/traffic.rs
@@ -11,12 +11,12 @@
     pub bytes: u64,
 }
 
-/// Traffic of the peak_rate process of a role over some time.
+/// Traffic of the busiest process of a role over some time.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct TrafficRate {
-    /// Messages a second, sent and received.
+    /// Messages per second, sent and received.
     pub messages: f64,
-    /// Bytes a second.
+    /// Bytes per second.
     pub bytes: f64,
 }
 
--- a/crates/group/tests/balance.rs
+++ b/crates/group/tests/balance.rs
@@ -70,8 +70,8 @@
     }
 }
 
-/// Guards against experts that move back and forth and testers wait at open pits, because loads
-/// that hardly change or moves that cost much are planned without payback or hysteresis.
+/// Guards against experts that move back and forth while requests wait for ranks to load them: loads
+/// change little, or moves cost much, and plans have neither payback nor hysteresis.
 #[gtest]
 fn no_plan_is_made_unless_it_pays_off() {
     let map = ExpertMap::round_robin(3, EXPERTS, RANKS);
