--- a/crates/coordinator/src/engine_requests.rs
+++ b/crates/coordinator/src/engine_requests.rs
@@ -28,7 +28,7 @@
             EngineRequest::Report | EngineRequest::Poll | EngineRequest::ReportWhenCopied(_) => {
                 (engine::REPORT, None, decode_report)
             }
-            EngineRequest::Counts => (engine::PICKED, None, decode_counts),
+            EngineRequest::Counts => (engine::COUNTS, None, decode_counts),
             EngineRequest::List => (engine::LISTS, None, decode_lists),
             EngineRequest::Order(command, epoch, token) => {
                 let operation = match command {
@@ -38,7 +38,7 @@
                     other => operation(&other),
                 };
                 // Engines refuse an empty order.
-                let body = operation.map(|o| engine::order(o, epoch, token));
+                let body = operation.map(|o| engine::encode_order(o, epoch, token));
                 (
                     engine::ORDER,
                     Some(body.unwrap_or_default()),
@@ -55,7 +55,7 @@
         {
             return packed.clone();
         }
-        let packed = bn_engine::pack_places(rank_count(map), &map.layers);
+        let packed = bn_engine::compress_placements(rank_count(map), &map.layers);
         // A relay refuses an empty map, and its engine is then called directly.
         let packed = packed.unwrap_or_else(|e| {
             log::error!("cannot encode expert map: {e}");
@@ -105,7 +105,7 @@
             RequestKind::Order
         }
         EngineRequest::Order(command, epoch, token) => {
-            let body = operation(command).map(|o| engine::order(o, *epoch, *token));
+            let body = operation(command).map(|o| engine::encode_order(o, *epoch, *token));
             request.order = body.unwrap_or_default();
             RequestKind::Held
         }
@@ -156,7 +156,7 @@
 }
 
 fn decode_report(status: u16, body: &[u8]) -> Reply {
-    match (status, engine::report(body)) {
+    match (status, engine::parse_report(body)) {
         (200, Ok(r)) => Reply::Report(EngineReport {
             group: r.group,
             epoch: r.epoch,
@@ -168,7 +168,7 @@
             prepared: r.prepared,
             armed: r.armed,
             held: r.held,
-            slowdown: r.pace,
+            slowdown: r.slowdown,
             fresh: false,
             recent_counts: None,
         }),
@@ -177,14 +177,14 @@
 }
 
 fn decode_counts(status: u16, body: &[u8]) -> Reply {
-    match (status, engine::counts(body)) {
+    match (status, engine::parse_counts(body)) {
         (200, Ok(c)) => Reply::Counts(c.epoch, c.counts),
         _ => Reply::Odd,
     }
 }
 
 fn decode_lists(status: u16, body: &[u8]) -> Reply {
-    match (status, engine::lists(body)) {
+    match (status, engine::parse_lists(body)) {
         (200, Ok(l)) => Reply::List(l.version, l.experts),
         _ => Reply::Odd,
     }
--- a/crates/coordinator/src/groups.rs
+++ b/crates/coordinator/src/groups.rs
@@ -201,7 +201,7 @@
             Ok(bytes) => bytes,
             Err(e) => return log::error!("cannot read document {}: {e}", self.committed.version),
         };
-        match bn_platform::plan(&bytes) {
+        match bn_platform::parse_document(&bytes) {
             Ok(document) => self.groups.shapes = shapes(&document),
             // The document was validated before it was proposed, so this is a bug.
             Err(e) => log::error!("document {} is invalid: {e}", self.committed.version),
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -156,7 +156,7 @@
 }
 
 fn record_load(shared: &Shared, server: &Server, headers: &HeaderMap) {
-    let report = text(headers, header::LOAD).and_then(bn_platform::load);
+    let report = text(headers, header::LOAD).and_then(bn_platform::parse_load);
     if let Some(load) = report {
         let report = LoadReport {
             running: load.running,
@@ -189,8 +189,11 @@
         header::DEADLINE,
         &ctx.remaining(now).as_millis().to_string(),
     );
-    set(header::EXPECT, &server.id);
-    set(header::RANK, &ctx.priority.min(MAX_PRIORITY).to_string());
+    set(header::EXPECT_SERVER, &server.id);
+    set(
+        header::PRIORITY,
+        &ctx.priority.min(MAX_PRIORITY).to_string(),
+    );
     if let Some(account) = &ctx.account {
         set(header::ACCOUNT, account);
     }
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -160,7 +160,7 @@
 /// gateway sets itself.
 fn forwarded_headers(mut headers: HeaderMap) -> HeaderMap {
     strip_hop_by_hop(&mut headers);
-    for name in header::OWN {
+    for name in header::MANAGED {
         headers.remove(name);
     }
     headers.remove("content-length");
@@ -180,7 +180,7 @@
     for name in listed {
         headers.remove(name);
     }
-    for name in header::HOP {
+    for name in header::HOP_BY_HOP {
         headers.remove(name);
     }
 }
