--- a/crates/cli/src/cmd/ctl.rs
+++ b/crates/cli/src/cmd/ctl.rs
@@ -1,5 +1,5 @@
-//! `buckthornnotch ctl --at ADDRESS 'STATEMENTS'`: one command, or with `-` one
-//! command a line from standard input. A command is accepted or refused as a whole.
+//! `buckthornnotch ctl --at ADDRESS 'STATEMENTS'`: sends one command, or with `-` one
+//! command per line of standard input. A command is accepted or refused as a unit.
 
 use crate::error::{CliResult, Error, IoSnafu};
 use crate::http;
@@ -18,38 +18,38 @@
     /// Operators' address of any entry.
     #[arg(long, default_value = "127.0.0.1:7201")]
     at: String,
-    /// Who you are.
+    /// Name of the operator.
     #[arg(long, default_value = "operator")]
     operator: String,
-    /// Number of the command; left out: from the clock.
+    /// Number of the command; default: taken from the clock.
     #[arg(long)]
     number: Option<u64>,
-    /// Token that tells a resend from another command; left out: random.
+    /// Token that distinguishes a resend from another command; default: random.
     #[arg(long)]
     token: Option<String>,
-    /// Print JSON in place of tables.
+    /// Print JSON instead of tables.
     #[arg(long)]
     json: bool,
-    /// Statements, or `-` for one command a line from standard input.
+    /// Statements, or `-` for one command per line of standard input.
     text: String,
 }
 
 pub(crate) fn run(args: &Args) -> CliResult {
     if args.text != "-" {
-        return one(args, &args.text);
+        return execute(args, &args.text);
     }
     for line in std::io::stdin().lock().lines() {
         let line = line.context(IoSnafu {
-            what: "standard input",
+            name: "standard input",
         })?;
         if !line.trim().is_empty() {
-            one(args, &line)?;
+            execute(args, &line)?;
         }
     }
     Ok(())
 }
 
-fn one(args: &Args, text: &str) -> CliResult {
+fn execute(args: &Args, text: &str) -> CliResult {
     let number = args.number.unwrap_or_else(clock_number);
     let token = args
         .token
@@ -79,7 +79,7 @@
     Ok(())
 }
 
-/// Sends one command under a fresh number; fails where it is not accepted.
+/// Sends one command with a new number; fails unless it is accepted.
 pub(crate) fn post_command(at: &str, operator: &str, text: &str) -> CliResult {
     let (number, token) = (clock_number(), "once");
     let body = json!({ "operator": operator, "number": number, "token": token, "text": text });
@@ -90,7 +90,7 @@
     }
 }
 
-/// Microseconds since 1970: grows, and two operators hardly ever meet.
+/// Microseconds since 1970: increases, and two operators rarely get the same number.
 fn clock_number() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -115,12 +115,12 @@
         .get("in_force")
         .and_then(Value::as_bool)
         .unwrap_or(false);
-    let force = if in_force {
+    let status = if in_force {
         "in force"
     } else {
         "not yet in force"
     };
-    println!("accepted at revision {revision}, {force}");
+    println!("accepted at revision {revision}, {status}");
 }
 
 fn cell(value: &Value) -> String {
--- a/crates/cli/src/cmd/fake.rs
+++ b/crates/cli/src/cmd/fake.rs
@@ -1,5 +1,5 @@
-//! `buckthornnotch fake`: a stand-in backend server that announces itself to an agent
-//! and keeps a record of what it ran.
+//! `buckthornnotch fake`: a fake backend server that announces itself to an agent and
+//! records what it ran.
 
 use crate::error::{CliResult, IoSnafu};
 use bn_fake::{Fake, Kind};
@@ -21,52 +21,52 @@
 --listen 127.0.0.1:7501 --agent 127.0.0.1:7401\n  \
     curl -d 1.5 127.0.0.1:7501/fake/limit   # rest SECONDS, say-leaving, stall MS, leave, die")]
 pub(crate) struct Args {
-    /// What it stands for.
+    /// Kind of backend server.
     #[arg(long, value_enum, default_value = "engine")]
     kind: Stand,
-    /// Its id.
+    /// Id of the backend server.
     #[arg(long)]
     name: String,
-    /// Its service.
+    /// Name of its service.
     #[arg(long)]
     service: String,
-    /// Its lock-step group.
+    /// Name of its lock-step group.
     #[arg(long, default_value = "")]
     group: String,
-    /// Its rank in the group.
+    /// Its rank in that group.
     #[arg(long, default_value_t = 0)]
     rank: u32,
-    /// Where it serves.
+    /// Address that it listens on.
     #[arg(long)]
     listen: SocketAddr,
     /// Operators' address of its agent.
     #[arg(long)]
     agent: Option<SocketAddr>,
-    /// Where coordinators take announcements, for gateways that send it requests themselves.
+    /// Where coordinators accept announcements, for gateways that send it requests directly.
     #[arg(long)]
     control: Option<SocketAddr>,
-    /// Requests it runs at once.
+    /// Number of requests that it runs concurrently.
     #[arg(long, default_value_t = 16)]
     capacity: u32,
-    /// Milliseconds of a step.
+    /// Duration of a step in milliseconds.
     #[arg(long, default_value_t = 5)]
     step_ms: u64,
-    /// Milliseconds by which its load reports lag.
+    /// Delay of its load reports in milliseconds.
     #[arg(long, default_value_t = 0)]
     lag_ms: u64,
-    /// It refuses orders with old fencing numbers.
+    /// Refuse orders with old fencing tokens.
     #[arg(long)]
     fences: bool,
-    /// Milliseconds to load the weights of an expert map.
+    /// Time to load the weights of an expert map in milliseconds.
     #[arg(long, default_value_t = 200)]
     load_ms: u64,
-    /// Write each step into the record.
+    /// Write each step to the record.
     #[arg(long)]
     record_steps: bool,
-    /// File for its record, JSON lines.
+    /// File for its record, in JSON lines.
     #[arg(long)]
     record: Option<PathBuf>,
-    /// A request whose body holds this text ends the process.
+    /// Terminate the process on a request whose body contains this text.
     #[arg(long)]
     fatal: Option<String>,
 }
@@ -93,5 +93,5 @@
         record: args.record,
         fatal: args.fatal,
     };
-    bn_fake::run(fake).context(IoSnafu { what: "fake" })
+    bn_fake::run(fake).context(IoSnafu { name: "fake" })
 }
--- a/crates/cli/src/cmd/limits.rs
+++ b/crates/cli/src/cmd/limits.rs
@@ -1,4 +1,4 @@
-//! `buckthornnotch limits`: which backend servers name a limit, as a coordinator knows it.
+//! `buckthornnotch limits`: lists backend servers that declare a limit, as known to a coordinator.
 
 use crate::error::CliResult;
 use crate::http;
@@ -12,5 +12,5 @@
 }
 
 pub(crate) fn run(args: &Args) -> CliResult {
-    http::show(&args.at, bn_coordinator::LIMITS)
+    http::print_page(&args.at, bn_coordinator::LIMITS)
 }
--- a/crates/cli/src/cmd/losses.rs
+++ b/crates/cli/src/cmd/losses.rs
@@ -1,32 +1,32 @@
-//! `buckthornnotch losses FILE...`: from the logs of gateways and coordinators, when requests were
-//! late or refused, and for what reason.
+//! `buckthornnotch losses FILE...`: shows from the logs of gateways and coordinators when requests
+//! were late or refused, and why.
 
 use crate::error::CliResult;
 use crate::lines::{self, Line};
 use indexmap::IndexMap;
 use std::path::PathBuf;
 
-/// Longest bar of the plot.
-const WIDEST: usize = 60;
+/// Maximum length of a bar, in characters.
+const MAX_BAR: usize = 60;
 
 #[derive(clap::Args)]
 #[command(after_help = "Example:\n  buckthornnotch losses logs/*.log --window-ms 1000")]
 pub(crate) struct Args {
-    /// Logs of processes, JSON lines.
+    /// Log files of processes, in JSON lines.
     #[arg(required = true)]
     files: Vec<PathBuf>,
-    /// Time that one row stands for.
+    /// Time covered by one row, in milliseconds.
     #[arg(long, default_value_t = 2_000)]
     window_ms: u64,
-    /// First event after which a stream is late.
+    /// Time to the first event above which a stream is late, in milliseconds.
     #[arg(long, default_value_t = 400)]
     first_ms: u64,
-    /// Pause between events after which a stream is late.
+    /// Pause between events above which a stream is late, in milliseconds.
     #[arg(long, default_value_t = 120)]
     pause_ms: u64,
 }
 
-/// Counts of causes, by window.
+/// Count of each cause, by window.
 type Rows = IndexMap<u64, IndexMap<String, usize>>;
 
 pub(crate) fn run(args: &Args) -> CliResult {
@@ -39,14 +39,14 @@
             *rows.entry(window).or_default().entry(cause).or_default() += 1;
         }
     }
-    print!("{}", show(&rows, args.window_ms));
+    print!("{}", format_rows(&rows, args.window_ms));
     Ok(())
 }
 
-/// Why a request was lost or late, or what made others late; none for lines that tell of neither.
+/// Why a request was lost or late, or what delayed others; `None` for lines that report neither.
 fn cause(line: &Line, args: &Args) -> Option<String> {
     let cause = match line.event.as_str() {
-        "stream_whole" if !line.is("in_time") => late(line, args).into(),
+        "stream_whole" if !line.is_true("in_time") => late_cause(line, args).into(),
         "stream_cut" | "stream_broken" => format!("cut: {}", line.text("why")),
         "refused" => format!("refused: {}", line.text("why")),
         "denied" => format!("denied: {}", line.text("why")),
@@ -58,11 +58,11 @@
     Some(cause)
 }
 
-fn late(line: &Line, args: &Args) -> &'static str {
-    let over = |field: &str, limit: u64| line.number(field).is_some_and(|ms| ms > limit as f64);
-    let first = over("first_ms", args.first_ms);
-    let pause = over("longest_pause_ms", args.pause_ms);
-    match (line.is("came_back"), first, pause) {
+fn late_cause(line: &Line, args: &Args) -> &'static str {
+    let exceeds = |field: &str, limit: u64| line.number(field).is_some_and(|ms| ms > limit as f64);
+    let first = exceeds("first_ms", args.first_ms);
+    let pause = exceeds("longest_pause_ms", args.pause_ms);
+    match (line.is_true("came_back"), first, pause) {
         (true, ..) => "late: came back",
         (_, true, true) => "late: first event and a pause",
         (_, true, false) => "late: first event",
@@ -71,24 +71,24 @@
     }
 }
 
-/// A row a window with a bar, the commonest causes first; sums over all windows at the end.
-fn show(rows: &Rows, window_ms: u64) -> String {
-    let mut sums: IndexMap<&str, usize> = IndexMap::new();
-    let most = rows.values().map(total).max().unwrap_or(0).max(1);
+/// One row per window with a bar, most frequent causes first; totals over all windows at the end.
+fn format_rows(rows: &Rows, window_ms: u64) -> String {
+    let mut totals: IndexMap<&str, usize> = IndexMap::new();
+    let max_total = rows.values().map(total).max().unwrap_or(0).max(1);
     let mut windows: Vec<_> = rows.iter().collect();
     windows.sort_by_key(|(window, _)| **window);
     let mut text = String::new();
     for (window, causes) in windows {
-        let bar = "#".repeat((total(causes) * WIDEST).div_ceil(most));
+        let bar = "#".repeat((total(causes) * MAX_BAR).div_ceil(max_total));
         let second = (window * window_ms) as f64 / 1000.0;
         text += &format!("{second:>7.1} s {:>5} {bar}\n", total(causes));
-        for (cause, count) in ordered(causes.iter().map(|(c, n)| (c.as_str(), *n))) {
+        for (cause, count) in by_count(causes.iter().map(|(c, n)| (c.as_str(), *n))) {
             text += &format!("          {count:>5} {cause}\n");
-            *sums.entry(cause).or_default() += count;
+            *totals.entry(cause).or_default() += count;
         }
     }
     text += "in all\n";
-    for (cause, count) in ordered(sums.into_iter()) {
+    for (cause, count) in by_count(totals.into_iter()) {
         text += &format!("          {count:>5} {cause}\n");
     }
     text
@@ -98,7 +98,7 @@
     causes.values().sum()
 }
 
-fn ordered<'a>(causes: impl Iterator<Item = (&'a str, usize)>) -> Vec<(&'a str, usize)> {
+fn by_count<'a>(causes: impl Iterator<Item = (&'a str, usize)>) -> Vec<(&'a str, usize)> {
     let mut causes: Vec<_> = causes.collect();
     causes.sort_by(|a, b| b.1.cmp(&a.1).then(a.0.cmp(b.0)));
     causes
--- a/crates/cli/src/cmd/members.rs
+++ b/crates/cli/src/cmd/members.rs
@@ -1,4 +1,4 @@
-//! `buckthornnotch members`: which coordinators keep the log, as one of them knows it.
+//! `buckthornnotch members`: lists the coordinators that replicate the log, as known to one.
 
 use crate::error::CliResult;
 use crate::http;
@@ -12,5 +12,5 @@
 }
 
 pub(crate) fn run(args: &Args) -> CliResult {
-    http::show(&args.at, bn_coordinator::MEMBERS)
+    http::print_page(&args.at, bn_coordinator::MEMBERS)
 }
--- a/crates/cli/src/cmd/mod.rs
+++ b/crates/cli/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! One file a command.
+//! One module per command.
 
 pub(crate) mod bench;
 pub(crate) mod check;
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the commands, for people, and the exit code each has.
+//! Errors of the commands, as shown to the user, and their exit codes.
 
 use snafu::Snafu;
 
@@ -18,9 +18,9 @@
     Relay { source: bn_engine::Error },
     #[snafu(display("{source}"), context(false))]
     Trace { source: bn_trace::Error },
-    #[snafu(display("{what}: {source}"))]
+    #[snafu(display("{name}: {source}"))]
     Io {
-        what: String,
+        name: String,
         source: std::io::Error,
     },
     #[snafu(display("{url}: {reason}"))]
@@ -32,7 +32,7 @@
 }
 
 impl Error {
-    /// 1: it failed; 2: settings are wrong; 3: refused; 4: nobody answered.
+    /// Exit code. 1: failed; 2: invalid settings; 3: refused; 4: no answer.
     pub(crate) fn code(&self) -> u8 {
         match self {
             Error::Settings { .. } => 2,
--- a/crates/cli/src/http.rs
+++ b/crates/cli/src/http.rs
@@ -1,4 +1,4 @@
-//! The commands' HTTP client.
+//! HTTP client of the commands.
 
 use crate::error::{CliResult, Error, HttpSnafu, IoSnafu};
 use snafu::ResultExt;
@@ -8,42 +8,38 @@
 use std::time::Duration;
 use ureq::tls::{Certificate, RootCerts, TlsConfig};
 
-/// Longest wait for what a process answers from memory.
-const FROM_MEMORY: Duration = Duration::from_secs(5);
+/// Timeout for pages that a process serves from memory.
+const PAGE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Status and body of a short exchange.
+/// Status and body of a short response.
 pub(crate) struct Reply {
     pub(crate) status: u16,
     pub(crate) text: String,
 }
 
-/// Certificate of the authority that signed the system's; none: plain TCP.
-static AUTHORITY: OnceLock<Certificate<'static>> = OnceLock::new();
+/// Certificate of the authority that signed the system's certificates; unset: plain TCP.
+static CA: OnceLock<Certificate<'static>> = OnceLock::new();
 
-/// Makes every later request go by TLS, trusting the certificate in this PEM file.
-pub(crate) fn trust(path: &Path) -> CliResult {
-    let what = path.display().to_string();
-    let pem = std::fs::read(path).context(IoSnafu { what: what.clone() })?;
+/// Sends every later request over TLS, trusting the certificate in this PEM file.
+pub(crate) fn set_ca(path: &Path) -> CliResult {
+    let name = path.display().to_string();
+    let pem = std::fs::read(path).context(IoSnafu { name: name.clone() })?;
     let cert = Certificate::from_pem(&pem).map_err(|e| Error::Failed {
-        reason: format!("{what}: {e}"),
+        reason: format!("{name}: {e}"),
     })?;
-    let _ = AUTHORITY.set(cert);
+    let _ = CA.set(cert);
     Ok(())
 }
 
-/// The URL of a page of the system.
+/// URL of a page of the system.
 pub(crate) fn url(address: &str, path: &str) -> String {
-    let scheme = if AUTHORITY.get().is_some() {
-        "https"
-    } else {
-        "http"
-    };
+    let scheme = if CA.get().is_some() { "https" } else { "http" };
     format!("{scheme}://{address}{path}")
 }
 
-/// An agent that reports statuses and never follows or pools.
+/// Agent that returns every status as a response, follows no redirects and pools no connections.
 pub(crate) fn agent(timeout: Duration) -> ureq::Agent {
-    let roots = AUTHORITY.get().cloned().into_iter().collect::<Vec<_>>();
+    let roots = CA.get().cloned().into_iter().collect::<Vec<_>>();
     let tls = TlsConfig::builder()
         .root_certs(RootCerts::Specific(Arc::new(roots)))
         .build();
@@ -58,42 +54,42 @@
         .into()
 }
 
-/// Prints a page that a process answers from memory.
-pub(crate) fn show(address: &str, page: &str) -> CliResult {
+/// Prints a page that a process serves from memory.
+pub(crate) fn print_page(address: &str, page: &str) -> CliResult {
     let url = url(address, page);
-    let got = get(&url, FROM_MEMORY)?;
-    if got.status != 200 {
-        let reason = format!("status {}: {}", got.status, got.text);
+    let reply = get(&url, PAGE_TIMEOUT)?;
+    if reply.status != 200 {
+        let reason = format!("status {}: {}", reply.status, reply.text);
         return HttpSnafu { url, reason }.fail();
     }
-    println!("{}", got.text);
+    println!("{}", reply.text);
     Ok(())
 }
 
-/// GETs a page.
+/// Sends a GET request.
 pub(crate) fn get(url: &str, timeout: Duration) -> CliResult<Reply> {
-    reply(url, agent(timeout).get(url).call())
+    into_reply(url, agent(timeout).get(url).call())
 }
 
-/// DELETEs what a page stands for.
+/// Sends a DELETE request.
 pub(crate) fn delete(url: &str, timeout: Duration) -> CliResult<Reply> {
-    reply(url, agent(timeout).delete(url).call())
+    into_reply(url, agent(timeout).delete(url).call())
 }
 
-/// POSTs a text.
+/// Sends a POST request with a text body.
 pub(crate) fn post(url: &str, body: &str, timeout: Duration) -> CliResult<Reply> {
-    reply(url, agent(timeout).post(url).send(body))
+    into_reply(url, agent(timeout).post(url).send(body))
 }
 
-fn reply(
+fn into_reply(
     url: &str,
-    got: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
+    result: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
 ) -> CliResult<Reply> {
     let fail = |reason: String| Error::Http {
         url: url.into(),
         reason,
     };
-    let response = got.map_err(|e| fail(e.to_string()))?;
+    let response = result.map_err(|e| fail(e.to_string()))?;
     let status = response.status().as_u16();
     let mut text = String::new();
     let read = response.into_body().into_reader().read_to_string(&mut text);
--- a/crates/cli/src/lines.rs
+++ b/crates/cli/src/lines.rs
@@ -1,4 +1,4 @@
-//! Structured logs of processes, read back.
+//! Reads the structured logs of processes.
 
 use crate::error::{CliResult, IoSnafu};
 use serde_json::{Map, Value};
@@ -7,7 +7,7 @@
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
 
-/// One line of a log.
+/// One structured log line.
 pub(crate) struct Line {
     pub(crate) ms: u64,
     pub(crate) process: String,
@@ -25,12 +25,12 @@
         self.fields.get(field)?.as_f64()
     }
 
-    pub(crate) fn is(&self, field: &str) -> bool {
+    pub(crate) fn is_true(&self, field: &str) -> bool {
         self.fields.get(field).and_then(Value::as_bool) == Some(true)
     }
 }
 
-/// The lines of all files, in the order of time.
+/// Lines of all files, sorted by time.
 pub(crate) fn read_all(files: &[PathBuf]) -> CliResult<Vec<Line>> {
     let mut lines = Vec::new();
     for file in files {
@@ -40,23 +40,23 @@
     Ok(lines)
 }
 
-/// Lines that are no JSON are passed over: a log may be cut anywhere.
+/// Skips lines that are not JSON, since a log may be truncated anywhere.
 fn read(file: &Path) -> CliResult<Vec<Line>> {
-    let what = file.display().to_string();
-    let opened = File::open(file).context(IoSnafu { what })?;
+    let name = file.display().to_string();
+    let opened = File::open(file).context(IoSnafu { name })?;
     let lines = BufReader::new(opened).lines().map_while(Result::ok);
     Ok(lines.filter_map(|l| parse(&l)).collect())
 }
 
-/// What stands before the object, such as a time that whoever kept the log wrote, is skipped.
+/// Skips any text before the JSON object, such as a timestamp added by the log collector.
 fn parse(text: &str) -> Option<Line> {
     let object = text.get(text.find('{')?..)?;
     let mut fields: Map<String, Value> = serde_json::from_str(object).ok()?;
-    let mut word = |name: &str| fields.remove(name);
+    let mut take = |name: &str| fields.remove(name);
     Some(Line {
-        ms: word("ms")?.as_u64()?,
-        process: word("process")?.as_str()?.into(),
-        event: word("event")?.as_str()?.into(),
+        ms: take("ms")?.as_u64()?,
+        process: take("process")?.as_str()?.into(),
+        event: take("event")?.as_str()?.into(),
         fields,
     })
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,5 +1,5 @@
-//! buckthornnotch: a load balancer for expert-parallel model groups. This file only
-//! dispatches; each command has a file in `cmd`.
+//! buckthornnotch: a load balancer for expert-parallel model groups. Dispatches to the
+//! commands, one module each in `cmd`.
 
 mod cmd;
 mod error;
@@ -16,7 +16,7 @@
     about = "Load balancer for expert-parallel model groups"
 )]
 struct Cli {
-    /// Connect by TLS and trust the certificate in this PEM file.
+    /// Connect over TLS and trust the certificate in this PEM file.
     #[arg(long, global = true)]
     ca: Option<std::path::PathBuf>,
     #[command(subcommand)]
@@ -25,37 +25,37 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run one process with the roles that its settings list.
+    /// Run one process with the roles listed in its settings.
     Run(cmd::run::Args),
-    /// Check a settings file; changes nothing.
+    /// Validate a settings file without applying it.
     Check(cmd::check::Args),
-    /// Ask and command a running system in the operator language.
+    /// Query and control a running system with statements of the operator language.
     Ctl(cmd::ctl::Args),
-    /// Merge the events of many processes into one time line.
+    /// Merge the events of many processes into one timeline.
     Timeline(cmd::timeline::Args),
-    /// Tell the story of one request from the logs of several processes.
+    /// Show the history of one request from the logs of several processes.
     Explain(cmd::explain::Args),
-    /// Count late and refused requests by time and cause, from logs.
+    /// Count late and refused requests in logs by time and cause.
     Losses(cmd::losses::Args),
-    /// Show which requests end backend servers and are refused, or vouch for one.
+    /// List the requests refused because they terminate backend servers, or pardon one.
     Quarantine(cmd::quarantine::Args),
-    /// Show which backend servers name a limit.
+    /// List the backend servers that declare a limit.
     Limits(cmd::limits::Args),
-    /// Show which coordinators keep the log.
+    /// List the coordinators that replicate the log.
     Members(cmd::members::Args),
     /// Send one request of each kind through a running system.
     Demo(cmd::demo::Args),
-    /// Measure a running system, or the policies alone.
+    /// Benchmark a running system, or the policies in isolation.
     Bench(cmd::bench::Args),
-    /// A stand-in backend server for tries and tests.
+    /// Run a fake backend server for experiments and tests.
     Fake(cmd::fake::Args),
 }
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let trusted = cli.ca.as_deref().map_or(Ok(()), http::trust);
-    let done = trusted.and_then(|()| dispatch(cli.command));
-    match done {
+    let ca = cli.ca.as_deref().map_or(Ok(()), http::set_ca);
+    let result = ca.and_then(|()| dispatch(cli.command));
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("{e}");
