--- a/crates/cli/src/cmd/check.rs
+++ b/crates/cli/src/cmd/check.rs
@@ -1,5 +1,5 @@
-//! `buckthornnotch check FILE...`: reads and checks settings; changes nothing. Exit
-//! code 0 where all are right, 2 where one is not.
+//! `buckthornnotch check FILE...`: validates settings files without applying them. Exits
+//! with 0 if all files are valid and with 2 if one is not.
 
 use crate::error::{CliResult, Error};
 use std::path::PathBuf;
@@ -7,7 +7,7 @@
 #[derive(clap::Args)]
 #[command(after_help = "Example:\n  buckthornnotch check examples/local/*.json")]
 pub(crate) struct Args {
-    /// Settings files, JSON.
+    /// Settings files, in JSON.
     #[arg(required = true)]
     files: Vec<PathBuf>,
 }
--- a/crates/cli/src/cmd/demo.rs
+++ b/crates/cli/src/cmd/demo.rs
@@ -1,5 +1,5 @@
 //! `buckthornnotch demo --ask ADDRESS`: waits until the system is ready, sends one
-//! request of each kind through the whole path, and prints what it saw.
+//! request of each kind along the full request path, and prints the results.
 
 use crate::error::{CliResult, Error};
 use crate::http;
@@ -7,8 +7,8 @@
 use std::io::Read;
 use std::time::{Duration, Instant};
 
-const READY: Duration = Duration::from_secs(30);
-const PAUSE: Duration = Duration::from_millis(200);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 const TIMEOUT: Duration = Duration::from_secs(20);
 const TOKENS: usize = 24;
 
@@ -22,38 +22,38 @@
     /// Operators' address of any entry.
     #[arg(long, default_value = "127.0.0.1:7201")]
     ctl: String,
-    /// Key of a client account that may be urgent.
+    /// Key of a client account that may send urgent requests.
     #[arg(long, default_value = "key-a1")]
     key: String,
-    /// Engine service.
+    /// Name of the engine service.
     #[arg(long, default_value = "notice-gen")]
     engine: String,
-    /// Plain service.
+    /// Name of the plain service.
     #[arg(long, default_value = "kiosk-ctl")]
     plain: String,
-    /// Backend servers that must serve before the demo starts.
+    /// Number of backend servers that must be serving before the demo starts.
     #[arg(long, default_value_t = 1)]
     backends: usize,
 }
 
-/// One request of the demo and what it got.
-struct Seen {
-    what: &'static str,
+/// Result of one request of the demo.
+struct Outcome {
+    name: &'static str,
     status: u16,
     verdict: String,
-    first: Duration,
+    first_byte: Duration,
     total: Duration,
-    /// `None`: whole and right.
-    wrong: Option<String>,
+    /// `None`: complete and correct.
+    error: Option<String>,
 }
 
-/// What to send.
+/// A request to send, and the response it should get.
 struct Probe<'a> {
-    what: &'static str,
+    name: &'static str,
     service: &'a str,
     headers: Vec<(&'static str, String)>,
     body: String,
-    /// Status and content that are right.
+    /// Expected status and content.
     status: u16,
     content: Option<String>,
 }
@@ -62,20 +62,20 @@
     wait_ready(args)?;
     let entry = first_address(&args.ask)?;
     println!("asked {} for an address, connecting to {entry}\n", args.ask);
-    let seen: Vec<Seen> = probes(args).iter().map(|p| send(&entry, p)).collect();
+    let outcomes: Vec<Outcome> = probes(args).iter().map(|p| send(&entry, p)).collect();
     let mut table = comfy_table::Table::new();
     table.load_style(comfy_table::presets::NOTHING);
     table.set_header([
         "request", "status", "verdict", "first ms", "total ms", "result",
     ]);
-    for s in &seen {
+    for o in &outcomes {
         table.add_row([
-            s.what.to_string(),
-            s.status.to_string(),
-            s.verdict.clone(),
-            format!("{:.1}", s.first.as_secs_f64() * 1e3),
-            format!("{:.1}", s.total.as_secs_f64() * 1e3),
-            s.wrong.clone().unwrap_or_else(|| "as it should be".into()),
+            o.name.to_string(),
+            o.status.to_string(),
+            o.verdict.clone(),
+            format!("{:.1}", o.first_byte.as_secs_f64() * 1e3),
+            format!("{:.1}", o.total.as_secs_f64() * 1e3),
+            o.error.clone().unwrap_or_else(|| "as it should be".into()),
         ]);
     }
     println!("{table}\n\nnext:");
@@ -88,11 +88,11 @@
         "  buckthornnotch bench load --ask {} --key {}",
         args.ask, args.key
     );
-    let wrong = seen.iter().filter(|s| s.wrong.is_some()).count();
-    match wrong {
+    let failed = outcomes.iter().filter(|o| o.error.is_some()).count();
+    match failed {
         0 => Ok(()),
         n => Err(Error::Failed {
-            reason: format!("{n} of {} requests went wrong", seen.len()),
+            reason: format!("{n} of {} requests failed", outcomes.len()),
         }),
     }
 }
@@ -103,8 +103,8 @@
     let answer = bn_fake::expected(&prompt, TOKENS);
     let body = serde_json::json!({ "prompt": prompt, "tokens": TOKENS }).to_string();
     let key = uuid::Uuid::now_v7().to_string();
-    let engine = |what, extra: Vec<(&'static str, String)>, status, content| Probe {
-        what,
+    let engine = |name, extra: Vec<(&'static str, String)>, status, content| Probe {
+        name,
         service: &args.engine,
         headers: [vec![auth.clone()], extra].concat(),
         body: body.clone(),
@@ -112,7 +112,7 @@
         content,
     };
     let plain = Probe {
-        what: "plain service, urgent",
+        name: "plain service, urgent",
         service: &args.plain,
         headers: vec![auth.clone(), ("x-priority", "urgent".into())],
         body: "takeover".into(),
@@ -135,7 +135,7 @@
         ),
         plain,
         Probe {
-            what: "wrong key",
+            name: "wrong key",
             service: &args.engine,
             headers: vec![("authorization", "Bearer nobody".into())],
             body: String::new(),
@@ -158,41 +158,41 @@
             .and_then(|v| v.get("rows"))
             .and_then(Value::as_array);
         let serving = rows.map_or(0, Vec::len);
-        if serving >= args.backends && judges_keys(args) {
+        if serving >= args.backends && accepts_keys(args) {
             println!(
                 "ready after {:.1} s: {serving} backend servers",
                 start.elapsed().as_secs_f64()
             );
             return Ok(());
         }
-        if start.elapsed() > READY {
+        if start.elapsed() > READY_TIMEOUT {
             let reason = format!("not ready: {serving} of {} backend servers", args.backends);
             return Err(Error::Failed { reason });
         }
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// A request that may not be repeated can be run: holders of claims that started a
-/// moment ago refuse keys which they may have forgotten.
-fn judges_keys(args: &Args) -> bool {
+/// Whether a request that must not be repeated can be run: holders of claims that have
+/// just started refuse keys that they may have forgotten.
+fn accepts_keys(args: &Args) -> bool {
     let Ok(entry) = first_address(&args.ask) else {
         return false;
     };
     let key = uuid::Uuid::now_v7().to_string();
     let auth = format!("Bearer {}", args.key);
     let probe = Probe {
-        what: "readiness",
+        name: "readiness",
         service: &args.plain,
         headers: vec![("authorization", auth), ("idempotency-key", key)],
         body: "ready?".into(),
         status: 200,
         content: None,
     };
-    send(&entry, &probe).wrong.is_none()
+    send(&entry, &probe).error.is_none()
 }
 
-/// Asks the system which address to use.
+/// Queries the system for the address to use.
 pub(crate) fn first_address(ask: &str) -> CliResult<String> {
     let url = http::url(ask, "/v1/addresses");
     let reply = http::get(&url, TIMEOUT)?;
@@ -200,58 +200,58 @@
     let first = value
         .as_ref()
         .and_then(|v| v.get("addresses")?.get(0)?.as_str());
-    let none = || Error::Http {
+    let missing = || Error::Http {
         url: url.clone(),
-        reason: "no address in the answer".into(),
+        reason: "the response contains no address".into(),
     };
-    first.map(String::from).ok_or_else(none)
+    first.map(String::from).ok_or_else(missing)
 }
 
-fn send(entry: &str, probe: &Probe<'_>) -> Seen {
+fn send(entry: &str, probe: &Probe<'_>) -> Outcome {
     let url = http::url(entry, &format!("/svc/{}/v1/run", probe.service));
     let start = Instant::now();
     let mut request = http::agent(TIMEOUT).post(&url);
     for (name, value) in &probe.headers {
         request = request.header(*name, value);
     }
-    let mut seen = Seen {
-        what: probe.what,
+    let mut outcome = Outcome {
+        name: probe.name,
         status: 0,
         verdict: String::new(),
-        first: Duration::ZERO,
+        first_byte: Duration::ZERO,
         total: Duration::ZERO,
-        wrong: None,
+        error: None,
     };
     let response = match request.send(&probe.body[..]) {
         Ok(response) => response,
         Err(e) => {
-            return Seen {
-                wrong: Some(e.to_string()),
-                ..seen
+            return Outcome {
+                error: Some(e.to_string()),
+                ..outcome
             };
         }
     };
-    seen.status = response.status().as_u16();
+    outcome.status = response.status().as_u16();
     let verdict = response
         .headers()
         .get("x-verdict")
         .and_then(|v| v.to_str().ok());
-    seen.verdict = verdict.unwrap_or("").into();
+    outcome.verdict = verdict.unwrap_or("").into();
     let mut reader = response.into_body().into_reader();
     let mut first = [0u8; 1];
     let mut text = Vec::new();
     let read = reader
         .read(&mut first)
         .map(|n| text.extend_from_slice(&first[..n]));
-    seen.first = start.elapsed();
+    outcome.first_byte = start.elapsed();
     let read = read.and_then(|()| reader.read_to_end(&mut text));
-    seen.total = start.elapsed();
+    outcome.total = start.elapsed();
     let text = String::from_utf8_lossy(&text);
-    seen.wrong = match (read, &probe.content) {
+    outcome.error = match (read, &probe.content) {
         (Err(e), _) => Some(format!("cut: {e}")),
-        _ if seen.status != probe.status => Some(format!("status {} was due", probe.status)),
+        _ if outcome.status != probe.status => Some(format!("status {} was due", probe.status)),
         (_, Some(content)) if *content != text => Some(format!("other content: {text:.40}")),
         _ => None,
     };
-    seen
+    outcome
 }
--- a/crates/cli/src/cmd/explain.rs
+++ b/crates/cli/src/cmd/explain.rs
@@ -1,15 +1,15 @@
-//! `buckthornnotch explain ID FILE...`: the story of one request from the logs of several
-//! processes, with what each of these processes believed meanwhile.
+//! `buckthornnotch explain ID FILE...`: shows the history of one request from the logs of
+//! several processes, with the state changes that each of them logged meanwhile.
 
 use crate::error::{CliResult, FailedSnafu};
 use crate::lines::{self, Line};
 use serde_json::Value;
 use std::path::PathBuf;
 
-/// Beliefs shown that changed within this time before the request's first line, in ms.
-const BEFORE_MS: u64 = 5_000;
-/// Events that change a belief on which requests depend.
-const BELIEFS: [&str; 12] = [
+/// Includes state changes within this time before the request's first line, in ms.
+const LOOKBACK_MS: u64 = 5_000;
+/// Events that report a change of state on which requests depend.
+const STATE_EVENTS: [&str; 12] = [
     "document_in_force",
     "backend_server",
     "backend_server_asked",
@@ -27,51 +27,51 @@
 #[derive(clap::Args)]
 #[command(after_help = "Example:\n  buckthornnotch explain 9c41d07be2a35f68 logs/*.log")]
 pub(crate) struct Args {
-    /// Id of the request, as its caller sent it.
+    /// Id of the request, as sent by its caller.
     id: String,
-    /// Logs of processes, JSON lines.
+    /// Log files of processes, in JSON lines.
     #[arg(required = true)]
     files: Vec<PathBuf>,
 }
 
 pub(crate) fn run(args: &Args) -> CliResult {
     let lines = lines::read_all(&args.files)?;
-    let mine = |l: &&Line| l.fields.get("request").and_then(Value::as_str) == Some(&args.id);
-    let ends = lines.iter().filter(mine).map(|l| l.ms);
-    let Some((first, last)) = ends.clone().min().zip(ends.max()) else {
+    let is_own = |l: &&Line| l.fields.get("request").and_then(Value::as_str) == Some(&args.id);
+    let times = lines.iter().filter(is_own).map(|l| l.ms);
+    let Some((first, last)) = times.clone().min().zip(times.max()) else {
         let reason = format!(
-            "no line names {}: it was served, and its line not sampled",
+            "no log line for request {}: it was served, and its line was not sampled",
             args.id
         );
         return FailedSnafu { reason }.fail();
     };
     let digests: Vec<&str> = lines
         .iter()
-        .filter(mine)
+        .filter(is_own)
         .map(|l| l.text("digest"))
         .collect();
     let digest = digests.into_iter().find(|d| !d.is_empty());
-    // What is held against the request may be older than any of its tries.
-    let case = |l: &Line| digest.is_some_and(|d| names(l, d));
-    let near = |l: &Line| l.ms + BEFORE_MS >= first && l.ms <= last;
-    for line in lines.iter().filter(|l| near(l) || case(l)) {
-        let own = mine(&line);
-        if own || case(line) || BELIEFS.contains(&line.event.as_str()) {
-            println!("{}", show(line, first, own));
+    // Quarantine events for the request may be older than any of its attempts.
+    let is_case = |l: &Line| digest.is_some_and(|d| mentions_digest(l, d));
+    let is_near = |l: &Line| l.ms + LOOKBACK_MS >= first && l.ms <= last;
+    for line in lines.iter().filter(|l| is_near(l) || is_case(l)) {
+        let own = is_own(&line);
+        if own || is_case(line) || STATE_EVENTS.contains(&line.event.as_str()) {
+            println!("{}", format_line(line, first, own));
         }
     }
     Ok(())
 }
 
-/// A line that says what became of this request before, of whichever caller's try.
-fn names(line: &Line, digest: &str) -> bool {
+/// Whether the line reports an earlier outcome of this request, from an attempt of any caller.
+fn mentions_digest(line: &Line, digest: &str) -> bool {
     let listed = line.fields.get("digests").and_then(Value::as_array);
     let listed = listed.is_some_and(|d| d.iter().any(|d| d.as_str() == Some(digest)));
     listed || line.text("digest") == digest
 }
 
-/// Times are milliseconds from the request's first line.
-fn show(line: &Line, first: u64, own: bool) -> String {
+/// Formats a line with its time in milliseconds since the request's first line.
+fn format_line(line: &Line, first: u64, own: bool) -> String {
     let at = line.ms as i64 - first as i64;
     let mark = if own { '>' } else { ' ' };
     let fields = line.fields.iter().filter(|(name, _)| *name != "request");
--- a/crates/cli/src/cmd/quarantine.rs
+++ b/crates/cli/src/cmd/quarantine.rs
@@ -1,12 +1,12 @@
-//! `buckthornnotch quarantine`: which requests are refused since backend servers ended under them, and
-//! an operator's word for one of them.
+//! `buckthornnotch quarantine`: lists the requests that are refused because backend servers
+//! terminated while running them, and lets an operator pardon one.
 
 use crate::error::{CliResult, FailedSnafu, HttpSnafu};
 use crate::http;
 use std::time::Duration;
 
-/// The coordinator answers from memory.
-const WITHIN: Duration = Duration::from_secs(5);
+/// Short, because the coordinator answers from memory.
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(clap::Args)]
 #[command(
@@ -17,33 +17,33 @@
     /// Operators' address of any coordinator.
     #[arg(long)]
     at: String,
-    /// Digest of a request that is to be sent again.
+    /// Digest of a request that may be sent to backend servers again.
     #[arg(long)]
     pardon: Option<String>,
 }
 
 pub(crate) fn run(args: &Args) -> CliResult {
     let page = bn_coordinator::QUARANTINE;
-    let (url, got) = match &args.pardon {
+    let (url, reply) = match &args.pardon {
         None => {
             let url = http::url(&args.at, page);
-            let got = http::get(&url, WITHIN)?;
-            (url, got)
+            let reply = http::get(&url, TIMEOUT)?;
+            (url, reply)
         }
         Some(digest) => {
             let url = http::url(&args.at, &format!("{page}/{digest}"));
-            let got = http::delete(&url, WITHIN)?;
-            (url, got)
+            let reply = http::delete(&url, TIMEOUT)?;
+            (url, reply)
         }
     };
-    match got.status {
-        200 => println!("{}", got.text),
+    match reply.status {
+        200 => println!("{}", reply.text),
         404 => {
-            let reason = "nothing is held against that request here".to_string();
+            let reason = "this coordinator has no quarantine case for that request".to_string();
             return FailedSnafu { reason }.fail();
         }
         status => {
-            let reason = format!("status {status}: {}", got.text);
+            let reason = format!("status {status}: {}", reply.text);
             return HttpSnafu { url, reason }.fail();
         }
     }
--- a/crates/cli/src/cmd/timeline.rs
+++ b/crates/cli/src/cmd/timeline.rs
@@ -1,5 +1,5 @@
-//! `buckthornnotch timeline FILE|ADDRESS...`: merges the events of files and of live
-//! processes into one time line, as text or for a trace viewer.
+//! `buckthornnotch timeline FILE|ADDRESS...`: merges the events of files and of running
+//! processes into one timeline, as text or for a trace viewer.
 
 use crate::error::{CliResult, Error};
 use crate::http;
@@ -14,10 +14,10 @@
 #[command(after_help = "Example:\n  \
     buckthornnotch timeline run/*.events 127.0.0.1:7201 --chrome > trace.json")]
 pub(crate) struct Args {
-    /// Event files, and operators' addresses of live processes.
+    /// Event files, and operators' addresses of running processes.
     #[arg(required = true)]
     sources: Vec<String>,
-    /// Write the Chrome trace format.
+    /// Print the Chrome trace format.
     #[arg(long)]
     chrome: bool,
 }
@@ -26,7 +26,7 @@
     let mut events = Vec::new();
     for source in &args.sources {
         events.extend(match source.parse::<SocketAddr>() {
-            Ok(_) => live(source)?,
+            Ok(_) => fetch_events(source)?,
             Err(_) => read_lines(Path::new(source))?,
         });
     }
@@ -38,11 +38,11 @@
     Ok(())
 }
 
-fn live(address: &str) -> CliResult<Vec<Event>> {
+fn fetch_events(address: &str) -> CliResult<Vec<Event>> {
     let url = http::url(address, "/v1/events");
     let reply = http::get(&url, TIMEOUT)?;
     serde_json::from_str(&reply.text).map_err(|e| Error::Http {
         url,
-        reason: format!("not events: {e}"),
+        reason: format!("response is not a list of events: {e}"),
     })
 }
