--- a/crates/cli/src/cmd/bench/control.rs
+++ b/crates/cli/src/cmd/bench/control.rs
@@ -1,6 +1,6 @@
-//! `bench control`: what control costs against the number of nodes. Stand-ins for
-//! entries ask the running system's leader for leases, stand-ins for agents attach to
-//! one of its entries; the counters of both real processes give the slopes.
+//! `bench control`: cost of control by number of nodes. Simulated entries request leases
+//! from the running system's leader, and simulated agents attach to one of its entries;
+//! the counters of both real processes give the slopes.
 
 use super::{page, table};
 use crate::cmd::ctl::post_command;
@@ -14,9 +14,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const RENEW: Duration = Duration::from_secs(1);
-const REPORT: Duration = Duration::from_secs(1);
-/// Ports of the stand-ins' inboxes start here, below the ephemeral ones.
+const RENEW_INTERVAL: Duration = Duration::from_secs(1);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// First port of the simulated inboxes, below the ephemeral ports.
 const FIRST_PORT: u16 = 20_000;
 
 #[derive(clap::Args)]
@@ -36,13 +36,13 @@
     /// Inbox of that entry.
     #[arg(long, default_value = "127.0.0.1:7004")]
     entry_inbox: SocketAddr,
-    /// Numbers of stand-ins, growing.
+    /// Numbers of simulated nodes of each role, in ascending order.
     #[arg(long, value_delimiter = ',', default_value = "7,50,100,200,300")]
     sizes: Vec<usize>,
-    /// Seconds measured at each size.
+    /// Measuring time at each size, in seconds.
     #[arg(long, default_value_t = 10)]
     seconds: u64,
-    /// Commands timed at each size.
+    /// Number of commands timed at each size.
     #[arg(long, default_value_t = 20)]
     commands: usize,
 }
@@ -66,7 +66,7 @@
             running += 1;
         }
         thread::sleep(Duration::from_secs(4));
-        let times = in_force(args)?;
+        let times = command_times(args)?;
         let quantile = |q: f64| {
             let at = (times.len() as f64 * q).ceil() as usize;
             times
@@ -76,10 +76,10 @@
                 .as_secs_f64()
                 * 1e3
         };
-        let pages = [("control leader", &args.leader), ("entry", &args.entry)];
+        let processes = [("control leader", &args.leader), ("entry", &args.entry)];
         let before = [page::read(&args.leader)?, page::read(&args.entry)?];
         thread::sleep(Duration::from_secs(args.seconds));
-        for ((role, address), old) in pages.iter().zip(before) {
+        for ((role, address), old) in processes.iter().zip(before) {
             let new = page::read(address)?;
             let rate = |a: f64, b: f64| (b - a) / args.seconds as f64;
             let mut row = vec![
@@ -107,7 +107,7 @@
     Ok(())
 }
 
-/// One more entry at the leader, and one more agent at the entry.
+/// Adds one entry at the leader and one agent at the entry.
 fn start_pair(args: &Args, i: usize, stop: &Arc<AtomicBool>) -> CliResult {
     let port = FIRST_PORT + 2 * i as u16;
     let entry = SocketAddr::from(([127, 0, 0, 1], port));
@@ -119,7 +119,7 @@
     start_agent(&format!("y{i}"), agent, args.entry_inbox, stop)
 }
 
-/// An entry that only holds a lease: it says at once what it has been told.
+/// An entry that only holds a lease and acknowledges each new revision at once.
 fn start_entry(
     name: &str,
     at: SocketAddr,
@@ -128,56 +128,56 @@
 ) -> CliResult {
     let start = Instant::now();
     let revision = Arc::new(AtomicU64::new(0));
-    let (told, ask_now) = (revision.clone(), ring());
-    let wake = ask_now.0.clone();
+    let (latest, channel) = (revision.clone(), wake_channel());
+    let wake = channel.0.clone();
     let sink = move |envelope: bn_wire::messages::Envelope| {
         if let Some(Body::LeaseGrant(grant)) = envelope.body
             && grant.refusal.is_empty()
-            && told.fetch_max(grant.revision, Ordering::Relaxed) < grant.revision
+            && latest.fetch_max(grant.revision, Ordering::Relaxed) < grant.revision
         {
             let _ = wake.try_send(());
         }
     };
-    let net = open(name, at, sink)?;
-    let (stopped, rx) = (stop.clone(), ask_now.1);
+    let net = open_net(name, at, sink)?;
+    let (stopped, rx) = (stop.clone(), channel.1);
     thread::spawn(move || {
         while !stopped.load(Ordering::Relaxed) {
-            let ask = LeaseAsk {
+            let request = LeaseAsk {
                 sent_ms: start.elapsed().as_millis() as u64 + 1,
                 revision: revision.load(Ordering::Relaxed),
                 ..LeaseAsk::default()
             };
-            net.send(leader, Body::LeaseAsk(ask));
-            let _ = rx.recv_timeout(RENEW);
+            net.send(leader, Body::LeaseAsk(request));
+            let _ = rx.recv_timeout(RENEW_INTERVAL);
         }
     });
     Ok(())
 }
 
-type Ring = (
+type WakeChannel = (
     std::sync::mpsc::SyncSender<()>,
     std::sync::mpsc::Receiver<()>,
 );
 
-fn ring() -> Ring {
+fn wake_channel() -> WakeChannel {
     std::sync::mpsc::sync_channel(1)
 }
 
 /// An agent that only reports.
 fn start_agent(name: &str, at: SocketAddr, entry: SocketAddr, stop: &Arc<AtomicBool>) -> CliResult {
     let start = Instant::now();
-    let told = Arc::new(AtomicU32::new(0));
-    let hear = told.clone();
+    let checksum = Arc::new(AtomicU32::new(0));
+    let received = checksum.clone();
     let sink = move |envelope: bn_wire::messages::Envelope| {
         if let Some(Body::AgentLease(lease)) = envelope.body
             && !lease.entries.is_empty()
         {
-            let digest = crc32c::crc32c(lease.entries.join(" ").as_bytes());
-            hear.store(digest, Ordering::Relaxed);
+            let sum = crc32c::crc32c(lease.entries.join(" ").as_bytes());
+            received.store(sum, Ordering::Relaxed);
         }
     };
-    let net = open(name, at, sink)?;
-    let mut first = Some(Profile {
+    let net = open_net(name, at, sink)?;
+    let mut profile = Some(Profile {
         name: name.into(),
         service: "bench".into(),
         group: "bench-a".into(),
@@ -191,18 +191,18 @@
             let attach = Attach {
                 agent_ms: start.elapsed().as_millis() as u64,
                 healthy: true,
-                entries: told.load(Ordering::Relaxed),
-                profile: first.take(),
+                entries: checksum.load(Ordering::Relaxed),
+                profile: profile.take(),
                 ..Attach::default()
             };
             net.send(entry, Body::Attach(attach));
-            thread::sleep(REPORT);
+            thread::sleep(REPORT_INTERVAL);
         }
     });
     Ok(())
 }
 
-fn open(
+fn open_net(
     name: &str,
     at: SocketAddr,
     sink: impl Fn(bn_wire::messages::Envelope) + Send + 'static,
@@ -213,13 +213,13 @@
     })
 }
 
-/// Times from sending a command to hearing that it is in force, sorted.
-fn in_force(args: &Args) -> CliResult<Vec<Duration>> {
+/// Sorted times from sending a command to the response that it is in force.
+fn command_times(args: &Args) -> CliResult<Vec<Duration>> {
     let mut times = Vec::new();
     for i in 0..args.commands {
-        let what = if i % 2 == 0 { "drain" } else { "undrain" };
+        let verb = if i % 2 == 0 { "drain" } else { "undrain" };
         let start = Instant::now();
-        post_command(&args.leader, "bench", &format!("{what} backend bench"))?;
+        post_command(&args.leader, "bench", &format!("{verb} backend bench"))?;
         times.push(start.elapsed());
     }
     times.sort();
--- a/crates/cli/src/cmd/bench/fleet.rs
+++ b/crates/cli/src/cmd/bench/fleet.rs
@@ -1,5 +1,5 @@
-//! `bench fleet`: what the control plane exchanges at sizes that no machine here holds, by the model
-//! of `bn-fleet`.
+//! `bench fleet`: traffic of the control plane at sizes too large for any available machine,
+//! from the model in `bn-fleet`.
 
 use super::table;
 use crate::error::CliResult;
@@ -9,19 +9,19 @@
 #[derive(clap::Args)]
 #[command(after_help = "Example:\n  buckthornnotch bench fleet --sizes 6,427,854,1708")]
 pub(crate) struct Args {
-    /// Gateways.
+    /// Numbers of gateways.
     #[arg(long, value_delimiter = ',', default_values_t = [6, 147, 427, 854, 1708])]
     sizes: Vec<usize>,
-    /// Coordinators.
+    /// Number of coordinators.
     #[arg(long, default_value_t = 9)]
     coordinators: usize,
-    /// Backend servers that announce themselves at the start.
+    /// Number of backend servers that announce themselves at the start.
     #[arg(long, default_value_t = 594)]
     servers: usize,
-    /// Part of the messages that is lost.
+    /// Fraction of the messages that is lost.
     #[arg(long, default_value_t = 0.0)]
     lost: f64,
-    /// Seed of delays and losses.
+    /// Random seed of delays and losses.
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
@@ -40,35 +40,35 @@
         "s to play",
     ]);
     for gateways in &args.sizes {
-        let began = Instant::now();
+        let started = Instant::now();
         let shape = Shape {
             gateways: *gateways,
             coordinators: args.coordinators,
             lost: args.lost.clamp(0.0, 1.0),
         };
         let report = play(args.seed, shape, args.servers);
-        t.add_row(row(*gateways, &report, began));
+        t.add_row(row(*gateways, &report, started));
     }
     println!("{t}");
     println!("Busiest instance of each role, sent and received; the transport adds to it.");
     Ok(())
 }
 
-fn row(gateways: usize, report: &Report, began: Instant) -> Vec<String> {
-    let start = |load: Load| format!("{:.1}", load.bytes / 1e3);
-    let both = |load: Load| format!("{:.1}; {:.2}", load.messages, load.bytes / 1e3);
+fn row(gateways: usize, report: &Report, started: Instant) -> Vec<String> {
+    let kilobytes = |load: Load| format!("{:.1}", load.bytes / 1e3);
+    let rates = |load: Load| format!("{:.1}; {:.2}", load.messages, load.bytes / 1e3);
     vec![
         gateways.to_string(),
         format!("{:.2}", report.copies),
         report
             .latest
             .map_or("never".into(), |t| t.as_millis().to_string()),
-        start(report.start.0),
-        both(report.calm.0),
-        both(report.changes.0),
-        start(report.start.1),
-        both(report.calm.1),
-        both(report.changes.1),
-        format!("{:.1}", began.elapsed().as_secs_f64()),
+        kilobytes(report.start.0),
+        rates(report.calm.0),
+        rates(report.changes.0),
+        kilobytes(report.start.1),
+        rates(report.calm.1),
+        rates(report.changes.1),
+        format!("{:.1}", started.elapsed().as_secs_f64()),
     ]
 }
--- a/crates/cli/src/cmd/bench/group.rs
+++ b/crates/cli/src/cmd/bench/group.rs
@@ -1,5 +1,5 @@
-//! `bench group`: the balancing policy on seeded drift (hour, season, a sudden event),
-//! against a static map and a full repack each window, with both users' weights.
+//! `bench group`: the balancing policy on seeded drift (hour, season, a sudden event), compared
+//! with a static map and a full repack in each window, with the weights of both users.
 
 use super::table;
 use crate::error::{CliResult, Error};
@@ -13,27 +13,27 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// Windows between decisions.
+/// Number of windows; each ends with a decision.
 const WINDOWS: usize = 200;
-/// Steps in a window.
+/// Steps per window.
 const WINDOW_STEPS: f64 = 6000.0;
-/// Tokens a step and layer over all ranks.
+/// Tokens per step and layer over all ranks.
 const TOKENS: f64 = 4096.0;
-/// Window of the sudden event, and its length.
+/// First window of the sudden event, and its length in windows.
 const EVENT: (usize, usize) = (120, 40);
 /// Weight of the newest window in the estimate.
 const ALPHA: f64 = 0.3;
-/// Seconds of a layer's step for one token on its busiest rank.
+/// Duration of a layer's step per token on its busiest rank, in seconds.
 const TOKEN_SECONDS: f64 = 2e-7;
-/// Seconds of pause for one loaded copy.
+/// Pause per loaded copy, in seconds.
 const LOAD_SECONDS: f64 = 0.02;
-/// Windows that a better map is expected to last.
+/// Number of windows for which a better map is expected to last.
 const HORIZON: f64 = 3.0;
 
 #[derive(clap::Args)]
 #[command(after_help = "Example:\n  buckthornnotch bench group --plot docs/group.svg")]
 pub(crate) struct Args {
-    /// Ranks, several sizes.
+    /// Numbers of ranks.
     #[arg(long, value_delimiter = ',', default_value = "8,16,32,64")]
     ranks: Vec<usize>,
     #[arg(long, default_value_t = 128)]
@@ -42,12 +42,12 @@
     layers: usize,
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Writes the skew of the last size over time into this file, SVG.
+    /// Write the skew over time of the last number of ranks to this SVG file.
     #[arg(long)]
     plot: Option<PathBuf>,
 }
 
-/// How a way of placing experts did.
+/// Result of one placement strategy.
 struct Outcome {
     skews: Vec<f64>,
     loads: usize,
@@ -57,7 +57,7 @@
 }
 
 type Weights = (&'static str, f64, f64);
-/// Name, weight of skew, weight of pauses; `settings` of the two users.
+/// Name, skew weight and pause weight of the two users, as in their `settings`.
 const USERS: [Weights; 2] = [("roshan", 2.0, 1.0), ("ventilprova", 1.0, 2.0)];
 
 pub(crate) fn run(args: &Args) -> CliResult {
@@ -74,39 +74,39 @@
     let mut curves = Vec::new();
     for ranks in &args.ranks {
         curves.clear();
-        let ways: [(&str, Option<Weights>); 4] = [
+        let strategies: [(&str, Option<Weights>); 4] = [
             ("static", None),
             ("repack", None),
             ("roshan", Some(USERS[0])),
             ("ventilprova", Some(USERS[1])),
         ];
-        for (name, weights) in ways {
-            let o = play(args, *ranks, name, weights);
-            let mut sorted = o.skews.clone();
+        for (name, weights) in strategies {
+            let outcome = simulate(args, *ranks, name, weights);
+            let mut sorted = outcome.skews.clone();
             sorted.sort_by(f64::total_cmp);
-            let mean = o.skews.iter().sum::<f64>() / o.skews.len() as f64;
+            let mean = outcome.skews.iter().sum::<f64>() / outcome.skews.len() as f64;
             let high = sorted.get(sorted.len() * 99 / 100).copied().unwrap_or(0.0);
             t.add_row([
                 ranks.to_string(),
                 name.into(),
                 format!("{mean:.3}"),
                 format!("{high:.3}"),
-                o.loads.to_string(),
-                format!("{:.1}", o.pause),
-                format!("{:.1}", o.steps),
-                format!("{:.2}", o.decision.as_secs_f64() * 1e3),
+                outcome.loads.to_string(),
+                format!("{:.1}", outcome.pause),
+                format!("{:.1}", outcome.steps),
+                format!("{:.2}", outcome.decision.as_secs_f64() * 1e3),
             ]);
-            curves.push((name, o.skews));
+            curves.push((name, outcome.skews));
         }
     }
     println!("{t}");
     args.plot
         .as_ref()
-        .map_or(Ok(()), |path| draw(path, &curves))
+        .map_or(Ok(()), |path| draw_plot(path, &curves))
 }
 
-/// Plays the drift with one way of placing; the same drift for every way.
-fn play(args: &Args, ranks: usize, way: &str, weights: Option<Weights>) -> Outcome {
+/// Simulates the drift with one placement strategy; the drift is the same for every strategy.
+fn simulate(args: &Args, ranks: usize, strategy: &str, weights: Option<Weights>) -> Outcome {
     let mut drift = Drift::new(args);
     let (_, skew_weight, move_weight) = weights.unwrap_or(("", 1.0, 1.0));
     let costs = Costs {
@@ -120,7 +120,7 @@
     };
     let mut map = ExpertMap::round_robin(args.layers, args.experts, ranks);
     let mut estimate = Estimate::default();
-    let mut o = Outcome {
+    let mut outcome = Outcome {
         skews: Vec::new(),
         loads: 0,
         pause: 0.0,
@@ -129,28 +129,28 @@
     };
     for window in 0..WINDOWS {
         let loads = drift.window(window);
-        o.skews.push(skew(&map, &loads, ranks));
-        o.steps += step_cost(&map, &loads, ranks) * TOKEN_SECONDS * WINDOW_STEPS;
+        outcome.skews.push(skew(&map, &loads, ranks));
+        outcome.steps += step_cost(&map, &loads, ranks) * TOKEN_SECONDS * WINDOW_STEPS;
         estimate.update(&loads, ALPHA);
         let start = Instant::now();
-        let next = match (way, weights) {
+        let next = match (strategy, weights) {
             ("repack", _) => Some(repack(&estimate, &costs)),
             (_, Some(_)) => plan(&map, &estimate, &costs).map(|p| p.map),
             _ => None,
         };
-        o.decision = o.decision.max(start.elapsed());
+        outcome.decision = outcome.decision.max(start.elapsed());
         if let Some(next) = next {
             let loaded = map.copies_to_load(&next);
-            o.loads += loaded;
-            o.pause += loaded as f64 * LOAD_SECONDS;
+            outcome.loads += loaded;
+            outcome.pause += loaded as f64 * LOAD_SECONDS;
             map = next;
         }
     }
-    o
+    outcome
 }
 
-/// Popularity of experts that drifts: a slow turn (season), a faster one (hour), and
-/// for a while an event that makes a few others hot.
+/// Drifting popularity of experts: a slow cycle (season), a faster one (hour), and a temporary
+/// event that makes a few other experts hot.
 struct Drift {
     rng: SmallRng,
     base: Vec<Vec<f64>>,
@@ -165,7 +165,7 @@
             let layer = |_| (0..args.experts).map(|_| f(&mut rng)).collect();
             (0..args.layers).map(layer).collect()
         };
-        // Popularity falls off as a power law in a random order.
+        // Popularity follows a power law, in random order.
         let base = grid(|r| 1.0 / (1.0 - r.random::<f64>()).max(1e-3).powf(-0.6).recip());
         let phase = grid(|r| r.random::<f64>());
         let event = grid(|r| r.random::<f64>());
@@ -184,7 +184,7 @@
     /// Tokens of each expert in this window.
     fn window(&mut self, window: usize) -> Vec<Vec<f64>> {
         let t = window as f64;
-        let hot = (EVENT.0..EVENT.0 + EVENT.1).contains(&window);
+        let in_event = (EVENT.0..EVENT.0 + EVENT.1).contains(&window);
         let mut layers = Vec::new();
         for ((base, phase), event) in self.base.iter().zip(&self.phase).zip(&self.event) {
             let mut loads: Vec<f64> = base
@@ -194,9 +194,9 @@
                 .map(|((b, p), e)| {
                     let season = 1.0 + 0.6 * ((t / 150.0 + p) * std::f64::consts::TAU).sin();
                     let hour = 1.0 + 0.4 * ((t / 24.0 + p * 7.0) * std::f64::consts::TAU).sin();
-                    let news = if hot && *e { 6.0 } else { 1.0 };
+                    let burst = if in_event && *e { 6.0 } else { 1.0 };
                     let noise = 1.0 + 0.1 * (self.rng.random::<f64>() - 0.5);
-                    b * season * hour * news * noise
+                    b * season * hour * burst * noise
                 })
                 .collect();
             let sum: f64 = loads.iter().sum();
@@ -207,11 +207,11 @@
     }
 }
 
-fn draw(path: &std::path::Path, curves: &[(&str, Vec<f64>)]) -> CliResult {
+fn draw_plot(path: &std::path::Path, curves: &[(&str, Vec<f64>)]) -> CliResult {
     let fail = |reason: String| Error::Failed { reason };
     let root = SVGBackend::new(path, (900, 420)).into_drawing_area();
     root.fill(&WHITE).map_err(|e| fail(e.to_string()))?;
-    let most = curves
+    let highest = curves
         .iter()
         .flat_map(|(_, c)| c)
         .copied()
@@ -221,7 +221,7 @@
         .margin(10)
         .x_label_area_size(30)
         .y_label_area_size(40)
-        .build_cartesian_2d(0.0..WINDOWS as f64, 1.0..most * 1.05)
+        .build_cartesian_2d(0.0..WINDOWS as f64, 1.0..highest * 1.05)
         .map_err(|e| fail(e.to_string()))?;
     chart
         .configure_mesh()
--- a/crates/cli/src/cmd/bench/load.rs
+++ b/crates/cli/src/cmd/bench/load.rs
@@ -1,5 +1,5 @@
-//! `bench load`: an open loop with seeded arrivals. Reports first-token and
-//! between-token times, refusals by verdict, and how evenly replicas were used.
+//! `bench load`: an open-loop load with seeded arrivals. Reports times to the first token and
+//! between tokens, refusals by verdict, and how evenly replicas were used.
 
 use super::{page, table};
 use crate::cmd::demo::first_address;
@@ -16,59 +16,59 @@
 
 const TIMEOUT: Duration = Duration::from_secs(30);
 /// Largest time in a histogram, in microseconds.
-const MOST_MICROS: u64 = 60_000_000;
-const DIGITS: u8 = 3;
+const MAX_MICROS: u64 = 60_000_000;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 #[derive(clap::Args)]
 #[command(after_help = "Examples:\n  \
     buckthornnotch bench load --ask 127.0.0.1:7101 --rate 200 --seconds 20\n  \
     buckthornnotch bench load --direct 127.0.0.1:7501,127.0.0.1:7502 --rate 200")]
 pub(crate) struct Args {
-    /// Callers' addresses, used in turn; the first is asked for the others.
+    /// Callers' addresses, used in round-robin order; the first is queried for the others.
     #[arg(long, default_value = "127.0.0.1:7101")]
     ask: String,
-    /// Send straight to these backend servers in turn, for comparison.
+    /// Send directly to these backend servers in round-robin order, for comparison.
     #[arg(long, value_delimiter = ',')]
     direct: Vec<String>,
-    /// Operators' addresses whose processor time is counted.
+    /// Operators' addresses of the processes whose CPU time is counted.
     #[arg(long, value_delimiter = ',')]
     count: Vec<String>,
     #[arg(long, default_value = "notice-gen")]
     service: String,
     #[arg(long, default_value = "key-a1")]
     key: String,
-    /// Requests a second.
+    /// Requests per second.
     #[arg(long, default_value_t = 100)]
     rate: u32,
     #[arg(long, default_value_t = 10)]
     seconds: u32,
-    /// Tokens an answer.
+    /// Tokens per answer.
     #[arg(long, default_value_t = 32)]
     tokens: usize,
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Each request carries an idempotency key.
+    /// Send an idempotency key with each request.
     #[arg(long)]
     keyed: bool,
 }
 
-/// What one request saw.
-struct Seen {
-    first: Duration,
+/// Result of one request.
+struct Outcome {
+    first_token: Duration,
     gaps: Vec<Duration>,
-    /// Whole, or why not.
-    end: String,
+    /// `whole`, or why it is not.
+    result: String,
     replica: String,
 }
 
 pub(crate) fn run(args: &Args) -> CliResult {
     let targets = targets(args)?;
-    let before = cpu(args)?;
-    let seen = send_all(args, &targets);
-    // What the last requests cost is in the counters by now.
+    let before = cpu_seconds(args)?;
+    let outcomes = send_all(args, &targets);
+    // After this wait the counters include the cost of the last requests.
     thread::sleep(Duration::from_millis(300));
-    let used = cpu(args)? - before;
-    report(args, &seen, used)
+    let used = cpu_seconds(args)? - before;
+    report(args, &outcomes, used)
 }
 
 fn targets(args: &Args) -> CliResult<Vec<String>> {
@@ -89,22 +89,22 @@
         .collect())
 }
 
-fn cpu(args: &Args) -> CliResult<f64> {
+fn cpu_seconds(args: &Args) -> CliResult<f64> {
     args.count
         .iter()
         .map(|a| page::read(a).map(|c| c.cpu_seconds))
         .sum()
 }
 
-fn send_all(args: &Args, targets: &[String]) -> Vec<Seen> {
+fn send_all(args: &Args, targets: &[String]) -> Vec<Outcome> {
     let mut rng = SmallRng::seed_from_u64(args.seed);
     let (tx, rx) = mpsc::channel();
     let start = Instant::now();
-    let mut at = 0.0;
+    let mut offset = 0.0;
     for i in 0..args.rate * args.seconds {
-        // Exponential gaps: arrivals do not know of each other.
-        at += -(1.0 - rng.random::<f64>()).ln() / f64::from(args.rate);
-        let due = start + Duration::from_secs_f64(at);
+        // Exponential gaps: arrivals are independent of each other.
+        offset += -(1.0 - rng.random::<f64>()).ln() / f64::from(args.rate);
+        let due = start + Duration::from_secs_f64(offset);
         thread::sleep(due.saturating_duration_since(Instant::now()));
         let Some(target) = targets.get(i as usize % targets.len().max(1)) else {
             break;
@@ -115,7 +115,7 @@
                 false => format!("http://{target}/v1/run"),
             },
             key: args.key.clone(),
-            idempotency: args.keyed.then(|| uuid::Uuid::now_v7().to_string()),
+            idempotency_key: args.keyed.then(|| uuid::Uuid::now_v7().to_string()),
             prompt: format!("load {} {i}", args.seed),
             tokens: args.tokens,
             due,
@@ -130,33 +130,33 @@
 struct Request {
     url: String,
     key: String,
-    idempotency: Option<String>,
+    idempotency_key: Option<String>,
     prompt: String,
     tokens: usize,
-    /// When it was due: a late start counts as waiting.
+    /// Scheduled start: a late start counts as waiting time.
     due: Instant,
 }
 
 impl Request {
-    fn send(self) -> Seen {
-        let mut seen = Seen {
-            first: Duration::ZERO,
+    fn send(self) -> Outcome {
+        let mut outcome = Outcome {
+            first_token: Duration::ZERO,
             gaps: Vec::new(),
-            end: String::new(),
+            result: String::new(),
             replica: String::new(),
         };
-        seen.end = self
-            .read(&mut seen)
+        outcome.result = self
+            .read(&mut outcome)
             .unwrap_or_else(|e| format!("cut: {e:.60}"));
-        seen
+        outcome
     }
 
-    fn read(&self, seen: &mut Seen) -> Result<String, String> {
+    fn read(&self, outcome: &mut Outcome) -> Result<String, String> {
         let body = serde_json::json!({ "prompt": self.prompt, "tokens": self.tokens });
         let mut request = http::agent(TIMEOUT)
             .post(&self.url)
             .header("authorization", format!("Bearer {}", self.key));
-        if let Some(key) = &self.idempotency {
+        if let Some(key) = &self.idempotency_key {
             request = request.header("idempotency-key", key);
         }
         let response = request.send(body.to_string()).map_err(|e| e.to_string())?;
@@ -166,7 +166,7 @@
         };
         let (verdict, replica) = (header("x-verdict"), header("x-fake"));
         let status = response.status().as_u16();
-        seen.replica = replica;
+        outcome.replica = replica;
         let mut reader = response.into_body().into_reader();
         let (mut text, mut buffer) = (Vec::new(), [0u8; 4096]);
         let mut last = self.due;
@@ -177,8 +177,8 @@
             }
             let now = Instant::now();
             match text.is_empty() {
-                true => seen.first = now - self.due,
-                false => seen.gaps.push(now - last),
+                true => outcome.first_token = now - self.due,
+                false => outcome.gaps.push(now - last),
             }
             last = now;
             text.extend_from_slice(buffer.get(..n).unwrap_or_default());
@@ -186,8 +186,8 @@
         if !verdict.is_empty() {
             return Ok(format!("{verdict} ({status})"));
         }
-        let right = bn_fake::expected(&self.prompt, self.tokens);
-        Ok(if text == right.as_bytes() {
+        let expected = bn_fake::expected(&self.prompt, self.tokens);
+        Ok(if text == expected.as_bytes() {
             "whole"
         } else {
             "wrong"
@@ -196,44 +196,44 @@
     }
 }
 
-fn report(args: &Args, seen: &[Seen], cpu: f64) -> CliResult {
-    let whole: Vec<&Seen> = seen.iter().filter(|s| s.end == "whole").collect();
-    let firsts = histogram(whole.iter().map(|s| s.first))?;
-    let gaps = histogram(whole.iter().flat_map(|s| s.gaps.iter().copied()))?;
+fn report(args: &Args, outcomes: &[Outcome], cpu: f64) -> CliResult {
+    let complete: Vec<&Outcome> = outcomes.iter().filter(|o| o.result == "whole").collect();
+    let first_tokens = histogram(complete.iter().map(|o| o.first_token))?;
+    let gaps = histogram(complete.iter().flat_map(|o| o.gaps.iter().copied()))?;
     let mut times = table(&["time in ms", "50%", "95%", "99%", "most"]);
-    for (name, h) in [("first token", &firsts), ("between tokens", &gaps)] {
+    for (name, h) in [("first token", &first_tokens), ("between tokens", &gaps)] {
         let at = |q: f64| format!("{:.1}", h.value_at_quantile(q) as f64 / 1e3);
         times.add_row([name.into(), at(0.5), at(0.95), at(0.99), at(1.0)]);
     }
     println!("{times}\n");
-    let mut ends: IndexMap<&str, usize> = IndexMap::new();
+    let mut results: IndexMap<&str, usize> = IndexMap::new();
     let mut replicas: IndexMap<&str, usize> = IndexMap::new();
-    for s in seen {
-        *ends.entry(&s.end).or_default() += 1;
+    for o in outcomes {
+        *results.entry(&o.result).or_default() += 1;
     }
-    for s in &whole {
-        *replicas.entry(&s.replica).or_default() += 1;
+    for o in &complete {
+        *replicas.entry(&o.replica).or_default() += 1;
     }
-    ends.sort_unstable_by(|_, a, _, b| b.cmp(a));
-    for (end, count) in &ends {
-        println!("{count:>7} {end}");
+    results.sort_unstable_by(|_, a, _, b| b.cmp(a));
+    for (result, count) in &results {
+        println!("{count:>7} {result}");
     }
-    let most = replicas.values().copied().max().unwrap_or(0) as f64;
-    let mean = whole.len() as f64 / replicas.len().max(1) as f64;
+    let busiest = replicas.values().copied().max().unwrap_or(0) as f64;
+    let mean = complete.len() as f64 / replicas.len().max(1) as f64;
     println!(
         "\n{} replicas, busiest over mean {:.2}",
         replicas.len(),
-        most / mean.max(1.0)
+        busiest / mean.max(1.0)
     );
     if !args.count.is_empty() {
-        let each = cpu / seen.len().max(1) as f64;
+        let each = cpu / outcomes.len().max(1) as f64;
         println!(
             "processor time of {} processes: {:.2} ms a request",
             args.count.len(),
             each * 1e3
         );
     }
-    let wrong = ends.get("wrong").copied().unwrap_or(0);
+    let wrong = results.get("wrong").copied().unwrap_or(0);
     match wrong {
         0 => Ok(()),
         n => Err(Error::Failed {
@@ -243,8 +243,8 @@
 }
 
 fn histogram(times: impl Iterator<Item = Duration>) -> CliResult<Histogram<u64>> {
-    let made = Histogram::new_with_bounds(1, MOST_MICROS, DIGITS);
-    let mut h = made.map_err(|e| Error::Failed {
+    let created = Histogram::new_with_bounds(1, MAX_MICROS, SIGNIFICANT_DIGITS);
+    let mut h = created.map_err(|e| Error::Failed {
         reason: e.to_string(),
     })?;
     for t in times {
--- a/crates/cli/src/cmd/bench/mod.rs
+++ b/crates/cli/src/cmd/bench/mod.rs
@@ -1,5 +1,5 @@
-//! `buckthornnotch bench NAME`: measures a running system or the policies alone. Loads
-//! and figures are for comparison on one machine; each table says what it counted.
+//! `buckthornnotch bench NAME`: benchmarks a running system, or the policies in isolation. Loads
+//! and figures are for comparison on one machine; each table states what it counted.
 
 mod claim;
 mod control;
@@ -19,15 +19,15 @@
 
 #[derive(Subcommand)]
 enum Bench {
-    /// Send a steady load to callers' addresses, or straight to backend servers.
+    /// Send a steady load to callers' addresses, or directly to backend servers.
     Load(load::Args),
-    /// Cost of control against the number of nodes, and the time to being in force.
+    /// Cost of control by number of nodes, and the time until a command is in force.
     Control(control::Args),
-    /// What coordinators and gateways exchange at any size, by a model.
+    /// Traffic of coordinators and gateways at any size, from a model.
     Fleet(fleet::Args),
-    /// The balancing policy on drifting expert loads, against its baselines.
+    /// The balancing policy on drifting expert loads, compared with its baselines.
     Group(group::Args),
-    /// Claims of idempotency keys: rate and memory of a holder, time of a claim.
+    /// Claims of idempotency keys: rate and memory use of a holder, time per claim.
     Claim(claim::Args),
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// A table for people.
+/// An empty table in Markdown.
 fn table(header: &[&str]) -> comfy_table::Table {
     let mut table = comfy_table::Table::new();
     table.load_style(comfy_table::presets::ASCII_MARKDOWN);
--- a/crates/cli/src/cmd/bench/page.rs
+++ b/crates/cli/src/cmd/bench/page.rs
@@ -1,4 +1,4 @@
-//! Reading counters from the metrics page of a process.
+//! Reads counters from the metrics page of a process.
 
 use crate::error::CliResult;
 use crate::http;
@@ -6,7 +6,7 @@
 
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Counters of one process at one moment.
+/// Counters of one process at one point in time.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Counters {
     pub(crate) cpu_seconds: f64,
@@ -15,7 +15,7 @@
     pub(crate) received_bytes: f64,
 }
 
-/// Reads the page at an operators' address.
+/// Reads the metrics page at an operators' address.
 pub(crate) fn read(address: &str) -> CliResult<Counters> {
     let text = http::get(&http::url(address, "/metrics"), TIMEOUT)?.text;
     let value = |name: &str| {
