--- a/crates/cli/src/cmd/run.rs
+++ b/crates/cli/src/cmd/run.rs
@@ -89,7 +89,7 @@
     let reload = move || match bn_conf::load(&file).map(|c| c.coordinator) {
         Ok(Some(c)) => {
             lines.put("reloaded", json!({ "changed": ["coordinator.seeds"] }));
-            send(&events, bn_coordinator::Event::Seeds(c.seeds));
+            send(&events, bn_coordinator::Event::SeedsChanged(c.seeds));
         }
         Ok(None) => log::error!("settings not reloaded: the coordinator section is missing"),
         Err(e) => log::error!("settings not reloaded: {e}"),
@@ -101,8 +101,8 @@
         .and_then(|e| e.map_err(|e| e.to_string())))
 }
 
-fn send(events: &bn_coordinator::Ring, event: bn_coordinator::Event) {
-    if !events.put(event) {
+fn send(events: &bn_coordinator::EventSender, event: bn_coordinator::Event) {
+    if !events.send(event) {
         log::info!("event not delivered: the coordinator has stopped or is too busy");
     }
 }
--- a/crates/coordinator/src/announcements.rs
+++ b/crates/coordinator/src/announcements.rs
@@ -1,7 +1,7 @@
-//! What backend servers say of themselves, to this coordinator or to others that tell it.
+//! Announcements, departures and limits of backend servers, from themselves or other coordinators.
 
-use crate::core::{Core, answered};
-use crate::tell::Told;
+use crate::core::{Core, count_unwanted};
+use crate::pushes::Waiter;
 use bn_backpressure::ServerLimit;
 use bn_registry::{Change, Record};
 use bn_wire::messages as wire;
@@ -11,21 +11,21 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Bits of what a leader told that count within its term.
+/// Bits of a rank version that count within a leader's term.
 const TERM_BITS: u32 = 32;
 
-/// From where a change of a backend server is known.
+/// Source of a change to a backend server's registration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Source {
-    /// It announced itself here.
+    /// The backend server announced itself here.
     Announced,
-    /// It said here that it leaves.
+    /// The backend server reported here that it leaves.
     Left,
-    /// It told this leader its group or pace.
+    /// It reported its group or slowdown to this leader.
     Rank,
-    /// A gateway heard its limit.
+    /// A gateway reported its limit.
     Limit,
-    /// Another coordinator told it.
+    /// Another coordinator sent the change.
     Coordinator,
 }
 
@@ -42,42 +42,41 @@
 }
 
 impl Core {
-    /// Takes an announcement in; answered with whether it is one of ours. One for a service that
-    /// no document names is not: it must not take the place of a good backend server that has
-    /// this id.
+    /// Merges an announcement and answers whether it was accepted. One for a service that no
+    /// document names is rejected: it must not replace a valid backend server with the same id.
     pub(crate) fn on_announce(
         &mut self,
         now: Duration,
         record: Record,
-        done: oneshot::Sender<bool>,
+        reply: oneshot::Sender<bool>,
     ) {
-        if !self.may_be_ours(&record) {
+        if !self.may_accept(&record) {
             let fields = json!({ "id": record.id, "service": record.service });
             self.lines.put("announcement_passed_over", fields);
-            return answered(done.send(false));
+            return count_unwanted(reply.send(false));
         }
         let id = record.id.clone();
         let change = self.registry.merge(now, record);
-        self.spread(&id, change, Source::Announced);
-        self.untold.once_told(Told::Announced(done));
+        self.publish_change(&id, change, Source::Announced);
+        self.pushes.answer_after_push(Waiter::Announced(reply));
     }
 
-    /// Whether a backend server's service is one of ours. Where the newest document is not known it may
-    /// name others than the one held here: one of them is taken in, unless its id is that of a
-    /// backend server that is known to be another service's.
-    fn may_be_ours(&mut self, record: &Record) -> bool {
+    /// Whether to accept a backend server by its service. If the newest document is not known, it
+    /// may name services that the local one does not: such a backend server is accepted unless its
+    /// id is registered for another service.
+    fn may_accept(&mut self, record: &Record) -> bool {
         let known = self.registry.get(&record.id);
-        let other = known.is_some_and(|k| k.service != record.service);
-        self.is_served(&record.service) || (!self.current && !other)
+        let other_service = known.is_some_and(|r| r.service != record.service);
+        self.is_served(&record.service) || (!self.current && !other_service)
     }
 
-    /// Whether a service is one that the document names. Before there is a document all are: backend
-    /// servers are there sooner than the first.
+    /// Whether the document names a service. Every service is accepted until the first document is
+    /// committed, because backend servers start before that.
     fn is_served(&mut self, service: &str) -> bool {
-        if self.settled.version == 0 || self.registry.present().any(|r| r.service == service) {
+        if self.committed.version == 0 || self.registry.present().any(|r| r.service == service) {
             return true;
         }
-        let version = self.settled.version;
+        let version = self.committed.version;
         if self.services.0 != version {
             self.services = (version, self.service_names());
         }
@@ -85,54 +84,60 @@
     }
 
     fn service_names(&self) -> IndexSet<String> {
-        let document = bn_wire::decompress(&self.settled.document).map_err(|e| e.to_string());
-        let plan = document.and_then(|d| bn_platform::plan(&d).map_err(|e| e.to_string()));
-        match plan {
-            Ok(plan) => plan.services().keys().cloned().collect(),
+        let bytes = bn_wire::decompress(&self.committed.document).map_err(|e| e.to_string());
+        let document = bytes.and_then(|d| bn_platform::plan(&d).map_err(|e| e.to_string()));
+        match document {
+            Ok(document) => document.services().keys().cloned().collect(),
             Err(e) => {
-                // It was checked before it was settled, so this is a fault of ours.
-                log::error!("document {}: {e}", self.settled.version);
+                // The document was validated before it was proposed, so this is a bug.
+                log::error!("cannot read document {}: {e}", self.committed.version);
                 IndexSet::new()
             }
         }
     }
 
-    /// A backend server told its lock-step group, or how fast it is, to this leader.
-    pub(crate) fn on_rank(&mut self, now: Duration, id: &str, group: &str, pace: u32) {
+    /// A backend server reported its lock-step group or its slowdown to this leader.
+    pub(crate) fn on_rank(&mut self, now: Duration, id: &str, group: &str, slowdown: u32) {
         let Some(record) = self.registry.get(id) else {
             return;
         };
-        if record.group == group && record.slowdown == pace {
+        if record.group == group && record.slowdown == slowdown {
             return;
         }
         let term = self.quorum.term() << TERM_BITS;
-        let told = (record.rank_version + 1).max(term);
+        let rank_version = (record.rank_version + 1).max(term);
         let record = Record {
             group: group.into(),
-            slowdown: pace,
-            rank_version: told,
+            slowdown,
+            rank_version,
             ..record.clone()
         };
         let change = self.registry.merge(now, record);
-        self.spread(id, change, Source::Rank);
+        self.publish_change(id, change, Source::Rank);
     }
 
-    /// A gateway heard of limits. One of a start that is not known is told again until it is.
-    pub(crate) fn on_limits(&mut self, now: Duration, inbox: SocketAddr, heard: wire::LimitsHeard) {
-        for raw in heard.limits {
+    /// A gateway reports limits. A limit for an incarnation that is not registered yet is reported
+    /// again until it is.
+    pub(crate) fn on_limits(
+        &mut self,
+        now: Duration,
+        inbox: SocketAddr,
+        report: wire::LimitsHeard,
+    ) {
+        for raw in report.limits {
             match ServerLimit::try_from(raw) {
-                Ok(heard) => self.on_limit(now, &heard),
-                Err(e) => log::warn!("a limit from {inbox}: {e}"),
+                Ok(reported) => self.on_limit(now, &reported),
+                Err(e) => log::warn!("invalid limit from gateway {inbox}: {e}"),
             }
         }
     }
 
-    fn on_limit(&mut self, now: Duration, heard: &ServerLimit) {
-        let known = self.registry.get(&heard.id);
-        let Some(known) = known.filter(|r| r.start_time == heard.start_time) else {
+    fn on_limit(&mut self, now: Duration, reported: &ServerLimit) {
+        let known = self.registry.get(&reported.id);
+        let Some(known) = known.filter(|r| r.start_time == reported.start_time) else {
             return;
         };
-        let limit = known.limit.merge(heard.limit);
+        let limit = known.limit.merge(reported.limit);
         if limit == known.limit {
             return;
         }
@@ -141,10 +146,10 @@
             ..known.clone()
         };
         let change = self.registry.merge(now, record);
-        self.spread(&heard.id, change, Source::Limit);
+        self.publish_change(&reported.id, change, Source::Limit);
     }
 
-    /// Which backend servers name a limit, for operators.
+    /// Lists the backend servers that set a limit, for operators.
     pub(crate) fn show_limits(&self) -> String {
         let limited = self.registry.present();
         let limited = limited.filter_map(|r| Some((r, r.limit.rate?)));
@@ -157,24 +162,24 @@
         json!({ "backend_servers": rows.collect::<Vec<_>>() }).to_string()
     }
 
-    /// A backend server is gone for good.
-    pub(crate) fn on_leave(&mut self, now: Duration, id: &str, done: oneshot::Sender<()>) {
+    /// Records that a backend server has left for good.
+    pub(crate) fn on_leave(&mut self, now: Duration, id: &str, reply: oneshot::Sender<()>) {
         let change = self.registry.record_departure(now, id);
-        self.spread(id, change, Source::Left);
-        self.untold.once_told(Told::Left(done));
+        self.publish_change(id, change, Source::Left);
+        self.pushes.answer_after_push(Waiter::Left(reply));
     }
 
-    /// Notes what is to be told of a backend server.
-    pub(crate) fn spread(&mut self, id: &str, change: Change, source: Source) {
+    /// Logs a change of a backend server and queues it for the next push.
+    pub(crate) fn publish_change(&mut self, id: &str, change: Change, source: Source) {
         let Some(record) = self.registry.get(id).filter(|_| change == Change::Updated) else {
             return;
         };
-        self.lines.put("backend_server", told(record, source));
-        self.untold.add(record, source != Source::Coordinator);
+        self.lines.put("backend_server", log_fields(record, source));
+        self.pushes.add(record, source != Source::Coordinator);
     }
 }
 
-fn told(record: &Record, source: Source) -> serde_json::Value {
+fn log_fields(record: &Record, source: Source) -> serde_json::Value {
     json!({
         "id": record.id, "service": record.service, "address": record.address,
         "condition": format!("{:?}", record.condition), "sequence": record.sequence,
