--- a/crates/cli/src/cmd/bench/control.rs
+++ b/crates/cli/src/cmd/bench/control.rs
@@ -68,9 +68,9 @@
         thread::sleep(Duration::from_secs(4));
         let times = command_times(args)?;
         let quantile = |q: f64| {
-            let at = (times.len() as f64 * q).ceil() as usize;
+            let index = (times.len() as f64 * q).ceil() as usize;
             times
-                .get(at.saturating_sub(1))
+                .get(index.saturating_sub(1))
                 .copied()
                 .unwrap_or_default()
                 .as_secs_f64()
--- a/crates/cli/src/cmd/bench/load.rs
+++ b/crates/cli/src/cmd/bench/load.rs
@@ -202,8 +202,8 @@
     let gaps = histogram(complete.iter().flat_map(|o| o.gaps.iter().copied()))?;
     let mut times = table(&["time in ms", "50%", "95%", "99%", "most"]);
     for (name, h) in [("first token", &first_tokens), ("between tokens", &gaps)] {
-        let at = |q: f64| format!("{:.1}", h.value_at_quantile(q) as f64 / 1e3);
-        times.add_row([name.into(), at(0.5), at(0.95), at(0.99), at(1.0)]);
+        let ms = |q: f64| format!("{:.1}", h.value_at_quantile(q) as f64 / 1e3);
+        times.add_row([name.into(), ms(0.5), ms(0.95), ms(0.99), ms(1.0)]);
     }
     println!("{times}\n");
     let mut results: IndexMap<&str, usize> = IndexMap::new();
@@ -226,11 +226,11 @@
         busiest / mean.max(1.0)
     );
     if !args.count.is_empty() {
-        let each = cpu / outcomes.len().max(1) as f64;
+        let per_request = cpu / outcomes.len().max(1) as f64;
         println!(
             "processor time of {} processes: {:.2} ms a request",
             args.count.len(),
-            each * 1e3
+            per_request * 1e3
         );
     }
     let wrong = results.get("wrong").copied().unwrap_or(0);
--- a/crates/cli/src/cmd/explain.rs
+++ b/crates/cli/src/cmd/explain.rs
@@ -72,13 +72,13 @@
 
 /// Formats a line with its time in milliseconds since the request's first line.
 fn format_line(line: &Line, first: u64, own: bool) -> String {
-    let at = line.ms as i64 - first as i64;
-    let mark = if own { '>' } else { ' ' };
+    let offset = line.ms as i64 - first as i64;
+    let marker = if own { '>' } else { ' ' };
     let fields = line.fields.iter().filter(|(name, _)| *name != "request");
     let fields: Vec<String> = fields.map(|(n, v)| format!("{n}={v}")).collect();
     let (process, event) = (&line.process, &line.event);
     format!(
-        "{mark} {at:>7} ms  {process:<22} {event:<20} {}",
+        "{marker} {offset:>7} ms  {process:<22} {event:<20} {}",
         fields.join(" ")
     )
 }
--- a/crates/cli/src/cmd/quarantine.rs
+++ b/crates/cli/src/cmd/quarantine.rs
@@ -5,7 +5,7 @@
 use crate::http;
 use std::time::Duration;
 
-/// Short, because the coordinator answers from memory.
+/// Timeout of a request; the coordinator answers from memory.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(clap::Args)]
