--- a/crates/cli/src/cmd/fake.rs
+++ b/crates/cli/src/cmd/fake.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Stand {
+enum FakeKind {
     Engine,
     Plain,
 }
@@ -23,7 +23,7 @@
 pub(crate) struct Args {
     /// Kind of backend server.
     #[arg(long, value_enum, default_value = "engine")]
-    kind: Stand,
+    kind: FakeKind,
     /// Id of the backend server.
     #[arg(long)]
     name: String,
@@ -74,8 +74,8 @@
 pub(crate) fn run(args: Args) -> CliResult {
     let fake = Fake {
         kind: match args.kind {
-            Stand::Engine => Kind::Engine,
-            Stand::Plain => Kind::Plain,
+            FakeKind::Engine => Kind::Engine,
+            FakeKind::Plain => Kind::Plain,
         },
         name: args.name,
         service: args.service,
