--- a/crates/cli/src/cmd/bench/load.rs
+++ b/crates/cli/src/cmd/bench/load.rs
@@ -186,7 +186,7 @@
         if !verdict.is_empty() {
             return Ok(format!("{verdict} ({status})"));
         }
-        let expected = bn_fake::expected(&self.prompt, self.tokens);
+        let expected = bn_fake::expected_answer(&self.prompt, self.tokens);
         Ok(if text == expected.as_bytes() {
             "whole"
         } else {
--- a/crates/coordinator/src/announcements.rs
+++ b/crates/coordinator/src/announcements.rs
@@ -85,7 +85,8 @@
 
     fn service_names(&self) -> IndexSet<String> {
         let bytes = bn_wire::decompress(&self.committed.document).map_err(|e| e.to_string());
-        let document = bytes.and_then(|d| bn_platform::plan(&d).map_err(|e| e.to_string()));
+        let document =
+            bytes.and_then(|d| bn_platform::parse_document(&d).map_err(|e| e.to_string()));
         match document {
             Ok(document) => document.services().keys().cloned().collect(),
             Err(e) => {
--- /dev/null
+++ b/crates/gateway/src/dispatch.rs
@@ -0,0 +1,227 @@
+//! Sends a request to backend servers until one responds: which outcomes allow another attempt, and
+//! which refusal is returned if none does.
+
+use crate::answer::{Refusal, Verdict};
+use crate::attempt::{self, Head, NotRunReason, Outcome};
+use crate::context::RequestContext;
+use crate::placement;
+use crate::shared::Shared;
+use crate::suspects::{self, Run, Trial};
+use bn_quarantine::to_text;
+use bn_route::ServerId;
+use serde_json::json;
+
+/// Connections that may fail before a request is refused; each was to another backend server, and
+/// no byte was sent.
+const MAX_UNSENT: u32 = 3;
+
+/// Attempts made for a request so far.
+#[derive(Default)]
+pub(crate) struct Attempts {
+    pub(crate) tried: Vec<ServerId>,
+    /// Number of backend servers that it was sent to.
+    pub(crate) sent: u32,
+    unsent: u32,
+    /// It is or was at a backend server that did not report that it was not run.
+    pub(crate) may_have_run: bool,
+    /// Set if it is a suspect, and this is its only attempt in the fleet.
+    pub(crate) trial: Option<Trial>,
+}
+
+impl Attempts {
+    /// The refusal returned when time or attempts have run out.
+    pub(crate) fn final_refusal(&self, otherwise: Refusal) -> Refusal {
+        match self.may_have_run {
+            true => Refusal::unknown(502, "the answer of the backend server was lost"),
+            false => otherwise,
+        }
+    }
+
+    /// The refusal returned at the deadline or the route's timeout.
+    pub(crate) fn timed_out(&self) -> Refusal {
+        match self.may_have_run {
+            true => Refusal::unknown(504, "no answer in time"),
+            // The caller's deadline has passed: no time is left for a retry either.
+            false => Refusal::not_retryable(503, "not sent in time"),
+        }
+    }
+}
+
+/// Tries backend servers until one returns the headers of a response.
+pub(crate) async fn dispatch(
+    shared: &Shared,
+    ctx: &RequestContext,
+    attempts: &mut Attempts,
+    last_event: Option<&str>,
+) -> Result<Box<Head>, Refusal> {
+    loop {
+        suspects::refuse_quarantined(shared, ctx)
+            .map_err(|refusal| attempts.final_refusal(refusal))?;
+        let reservation = placement::reserve(shared, ctx, &attempts.tried).await;
+        let reservation = reservation.map_err(|refusal| attempts.final_refusal(refusal))?;
+        // It waited for its slot, and more may be known of the request by now.
+        let admitted = suspects::admit(shared, ctx, attempts).await;
+        admitted.map_err(|refusal| attempts.final_refusal(refusal))?;
+        let id = reservation.server.id.clone();
+        let run = Run::at(&reservation.server);
+        attempts.tried.push(id.clone());
+        let may_have_run_before = attempts.may_have_run;
+        attempts.may_have_run = true;
+        let outcome = attempt::send(shared, ctx, reservation, last_event).await;
+        match outcome {
+            Outcome::Head(head) => {
+                attempts.sent += 1;
+                return Ok(head);
+            }
+            Outcome::NotSent(why) => {
+                attempts.may_have_run = may_have_run_before;
+                attempts.unsent += 1;
+                log_failure(shared, ctx, &id, "not_sent", why);
+                record_failure(shared, &id, true);
+                if attempts.unsent >= MAX_UNSENT {
+                    let later = Refusal::retryable(
+                        "no backend server reached",
+                        placement::retry_delay(shared, ctx),
+                    );
+                    return Err(attempts.final_refusal(later));
+                }
+            }
+            Outcome::Withheld => {
+                attempts.may_have_run = may_have_run_before;
+                attempts.tried.pop();
+                metrics::counter!("requests_withheld_total").increment(1);
+                log_failure(shared, ctx, &id, "withheld", "as the backend server asks");
+            }
+            Outcome::NotRun(reason) => {
+                attempts.may_have_run = may_have_run_before;
+                on_not_run(shared, ctx, attempts, &id, reason)?;
+            }
+            Outcome::ConnectionLost => {
+                suspects::on_run_lost(shared, ctx, attempts, &run, false);
+                on_unknown(
+                    shared,
+                    ctx,
+                    attempts,
+                    &id,
+                    "connection broke before an answer",
+                )?;
+            }
+            Outcome::Mismatched => {
+                on_unknown(
+                    shared,
+                    ctx,
+                    attempts,
+                    &id,
+                    "an answer to another request came",
+                )?;
+            }
+        }
+    }
+}
+
+/// Whether the request may go to another backend server although it may have run. A suspect may
+/// not: the next backend server would terminate, too, before this termination is known.
+pub(crate) fn take_retry(shared: &Shared, ctx: &RequestContext, attempts: &Attempts) -> bool {
+    let may = ctx.idempotent() && attempts.trial.is_none() && attempts.sent < ctx.route.attempts;
+    may && shared.try_withdraw_retry(&ctx.service)
+}
+
+fn on_unknown(
+    shared: &Shared,
+    ctx: &RequestContext,
+    attempts: &mut Attempts,
+    id: &str,
+    why: &str,
+) -> Result<(), Refusal> {
+    attempts.sent += 1;
+    log_failure(shared, ctx, id, "unknown", why);
+    record_failure(shared, id, false);
+    match take_retry(shared, ctx, attempts) {
+        true => Ok(()),
+        false => Err(Refusal::unknown(502, "the answer was lost")),
+    }
+}
+
+fn on_not_run(
+    shared: &Shared,
+    ctx: &RequestContext,
+    attempts: &mut Attempts,
+    id: &str,
+    reason: NotRunReason,
+) -> Result<(), Refusal> {
+    let (outcome, message) = match reason {
+        NotRunReason::Full => ("full", placement::FULL),
+        NotRunReason::AddressReused => ("elsewhere", "the backend server is gone"),
+        NotRunReason::NotServed => ("misfit", "the backend server serves no such request"),
+        NotRunReason::Stalled => ("stalled", placement::STALLED),
+    };
+    log_failure(shared, ctx, id, "not_run", outcome);
+    let cannot_serve = matches!(
+        reason,
+        NotRunReason::AddressReused | NotRunReason::NotServed
+    );
+    match reason {
+        // Its address belongs to another backend server now; an id is never reused.
+        NotRunReason::AddressReused => shared.state().fleet.remove(id),
+        // As it has no load, it would be preferred for every request.
+        NotRunReason::NotServed => record_failure(shared, id, true),
+        NotRunReason::Full => attempts.sent += 1,
+        NotRunReason::Stalled => {
+            let now = shared.now();
+            let mut state = shared.state();
+            state.fleet.mark_stalled(now, id);
+            state.reset_controller(id);
+            attempts.sent += 1;
+        }
+    }
+    // A backend server that cannot serve the request at all does not count as an attempt to serve
+    // it.
+    attempts.unsent += u32::from(cannot_serve);
+    let may_try = match cannot_serve {
+        true => attempts.unsent < MAX_UNSENT,
+        false => attempts.sent < ctx.route.attempts,
+    };
+    match may_try && shared.try_withdraw_retry(&ctx.service) {
+        true => Ok(()),
+        false => Err(attempts.final_refusal(Refusal::retryable(
+            message,
+            placement::retry_delay(shared, ctx),
+        ))),
+    }
+}
+
+/// Records a failure of a backend server.
+pub(crate) fn record_failure(shared: &Shared, id: &str, severe: bool) {
+    let now = shared.now();
+    let ejected = shared.state().fleet.record_failure(now, id, severe);
+    if ejected {
+        shared
+            .lines
+            .put("backend_server_out", json!({ "id": id, "gravely": severe }));
+    }
+}
+
+/// Logs an attempt without a response.
+pub(crate) fn log_failure(
+    shared: &Shared,
+    ctx: &RequestContext,
+    id: &str,
+    outcome: &str,
+    why: &str,
+) {
+    shared.lines.put(
+        "try_failed",
+        json!({
+            "request": ctx.id, "route": ctx.route.name, "version": ctx.version,
+            "server": id, "outcome": outcome, "why": why, "digest": to_text(ctx.digest()),
+        }),
+    );
+}
+
+/// The verdict of a refusal, for log events and counters.
+pub(crate) fn verdict_name(refusal: &Refusal) -> &'static str {
+    match refusal.verdict {
+        Verdict::NotRun => "not_run",
+        Verdict::MayHaveRun => "may_have_run",
+    }
+}
--- a/crates/node/src/entry/mod.rs
+++ b/crates/node/src/entry/mod.rs
@@ -206,7 +206,7 @@
     /// learn of the shutdown within one lease duration, or two if the leader that knew of it is
     /// replaced; until then they may still hand out the address, so new requests may arrive.
     fn may_stop(&self, now: Duration) -> bool {
-        let address_lifetime = crate::control::lease::LEASE_DURATION * 2 + self.conf.ttl;
+        let address_lifetime = crate::control::lease::LEASE_DURATION * 2 + self.conf.addresses_ttl;
         self.stopping.is_some_and(|at| now > at + address_lifetime) && self.requests.is_empty()
     }
 }
