--- a/crates/cli/tests/testbed/run.rs
+++ b/crates/cli/tests/testbed/run.rs
@@ -179,9 +179,7 @@
             let request = self.request("e1", service, "ready?".into(), Some(key), 1, None);
             match send(&request) {
                 CallOutcome::Whole => return Ok(()),
-                other if start.elapsed() > TIMEOUT => {
-                    return Err(format!("not ready: {other:?}"));
-                }
+                other if start.elapsed() > TIMEOUT => return Err(format!("not ready: {other:?}")),
                 _ => thread::sleep(POLL_INTERVAL * 4),
             }
         }
