--- a/crates/group/tests/balance.rs
+++ b/crates/group/tests/balance.rs
@@ -1,5 +1,4 @@
-//! Tests of the balancing policy: properties of the plans it proposes, and when it must not propose
-//! any.
+//! Tests of the balancing policy: which plans it may propose, and when it must propose none.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -70,8 +69,8 @@
     }
 }
 
-/// Guards against experts that move back and forth while requests wait for ranks to load them: loads
-/// change little, or moves cost much, and plans have neither payback nor hysteresis.
+/// Guards against experts that move back and forth while requests wait for ranks to load them:
+/// loads change little, or moves cost much, and plans have neither payback nor hysteresis.
 #[gtest]
 fn no_plan_is_made_unless_it_pays_off() {
     let map = ExpertMap::round_robin(3, EXPERTS, RANKS);
--- a/crates/group/tests/demand.rs
+++ b/crates/group/tests/demand.rs
@@ -5,7 +5,7 @@
 mod engines;
 
 use bn_group::Demand;
-use engines::{Faults, Prompts, SimulatedGroup};
+use engines::{Faults, GroupModel, Prompts};
 use googletest::prelude::*;
 use std::time::Duration;
 
@@ -19,18 +19,17 @@
     ranks: usize::MAX,
 };
 
-fn group_with_prompts(seed: u64, ranks: usize) -> SimulatedGroup {
+fn group_with_prompts(seed: u64, ranks: usize) -> GroupModel {
     let faults = Faults {
         fresh_rate: 1.0,
         ..Faults::default()
     };
-    let mut group = SimulatedGroup::new(seed, ranks, faults);
+    let mut group = GroupModel::new(seed, ranks, faults);
     group.prompts = Some(PROMPTS);
     group
 }
 
-/// Guards against maps that follow the random variation between polls, each of which counts few
-/// prompts.
+/// Guards against maps that follow the random variation between polls of a few prompts each.
 #[googletest::test]
 fn the_map_stays_while_demand_is_steady() {
     for ranks in SIZES {
@@ -47,8 +46,7 @@
     }
 }
 
-/// Guards against maps that follow each prompt of a group that has just started and has few of
-/// them.
+/// Guards against maps that follow each prompt of a group that has just started and has few.
 #[googletest::test]
 fn the_map_stays_when_few_ranks_have_few_prompts() {
     for ranks in SIZES {
--- a/crates/group/tests/engines/mod.rs
+++ b/crates/group/tests/engines/mod.rs
@@ -65,7 +65,7 @@
     Reply(usize, u64, Reply),
 }
 
-pub(crate) struct SimulatedGroup {
+pub(crate) struct GroupModel {
     now: Duration,
     rng: SmallRng,
     faults: Faults,
@@ -99,13 +99,13 @@
     pub(crate) prompts: Option<Prompts>,
 }
 
-impl SimulatedGroup {
-    pub(crate) fn new(seed: u64, ranks: usize, faults: Faults) -> SimulatedGroup {
+impl GroupModel {
+    pub(crate) fn new(seed: u64, ranks: usize, faults: Faults) -> GroupModel {
         let engine = |rank: usize| Engine {
             id: format!("e{rank}-0"),
             ..Engine::default()
         };
-        SimulatedGroup {
+        GroupModel {
             now: Duration::ZERO,
             rng: SmallRng::seed_from_u64(seed),
             faults,
@@ -139,11 +139,7 @@
         }
     }
 
-    pub(crate) fn run_until(
-        &mut self,
-        reached: impl Fn(&SimulatedGroup) -> bool,
-        within: Duration,
-    ) {
+    pub(crate) fn run_until(&mut self, reached: impl Fn(&GroupModel) -> bool, within: Duration) {
         let until = self.now + within;
         while !reached(self) {
             assert!(self.now < until, "state not reached within {within:?}");
@@ -187,8 +183,7 @@
         self.pass
     }
 
-    /// Load of the busiest rank over the mean with the map in use, for the expected load of the
-    /// prompts.
+    /// Load of the busiest rank over the mean with the map in use, at the prompts' expected load.
     pub(crate) fn imbalance(&self) -> f64 {
         let content = &self.engines[0].content;
         let ranks = self.engines.len();
@@ -221,13 +216,11 @@
     }
 
     pub(crate) fn position_first(&self, which: &str) -> Option<usize> {
-        self.orders.iter().position(|(c, _)| matches_name(c, which))
+        self.orders.iter().position(|(c, _)| is_named(c, which))
     }
 
     pub(crate) fn position_last(&self, which: &str) -> Option<usize> {
-        self.orders
-            .iter()
-            .rposition(|(c, _)| matches_name(c, which))
+        self.orders.iter().rposition(|(c, _)| is_named(c, which))
     }
 
     pub(crate) fn count(&self, which: impl Fn(&Command) -> bool, reply: &Reply) -> usize {
@@ -549,7 +542,7 @@
 }
 
 /// Whether a command is the one named, such as `hold` or `disarm 7`.
-fn matches_name(command: &Command, which: &str) -> bool {
+fn is_named(command: &Command, which: &str) -> bool {
     let full = match command {
         Command::Disarm(version) => format!("disarm {version}"),
         other => command_name(other).into(),
--- a/crates/group/tests/pilot.rs
+++ b/crates/group/tests/pilot.rs
@@ -1,20 +1,18 @@
-//! Tests of map switches under random schedules: no pass runs on two maps, whatever orders are lost
-//! or carried out late, ranks and leaders die, or old leaders still believe they lead; and no group
-//! stays held.
+//! Map switches under random schedules: no pass runs on two maps, whatever orders are lost or late,
+//! ranks and leaders die, or old leaders still believe they lead; and no group stays held.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
 mod engines;
 
 use bn_group::switch_controller::{Command, Reply};
-use engines::{Faults, SimulatedGroup};
+use engines::{Faults, GroupModel};
 use googletest::prelude::*;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
 
-/// Number of schedules in one run; `BN_SCHEDULES` sets another number and `BN_FIRST` the first
-/// seed.
+/// Schedules in one run; `BN_SCHEDULES` overrides the number, `BN_FIRST` sets the first seed.
 const SCHEDULES: u64 = 400;
 const RANKS: usize = 4;
 
@@ -29,8 +27,8 @@
     REGRESSION_SEEDS.into_iter().chain(first..last)
 }
 
-fn without_faults(seed: u64) -> SimulatedGroup {
-    SimulatedGroup::new(seed, RANKS, Faults::default())
+fn without_faults(seed: u64) -> GroupModel {
+    GroupModel::new(seed, RANKS, Faults::default())
 }
 
 #[googletest::test]
@@ -50,7 +48,7 @@
 /// beside the engines.
 #[googletest::test]
 fn fresh_reports_lead_to_faster_switches() {
-    let fresh_reports = Faults {
+    let faults = Faults {
         fresh_rate: 1.0,
         ..Faults::default()
     };
@@ -58,10 +56,7 @@
 
     // The ratio varies randomly from 0.6 to 0.8 for one schedule; for twelve it is 0.70.
     for seed in 1..=12 {
-        let (mut fresh, mut delayed) = (
-            SimulatedGroup::new(seed, RANKS, fresh_reports),
-            without_faults(seed),
-        );
+        let (mut fresh, mut delayed) = (GroupModel::new(seed, RANKS, faults), without_faults(seed));
         fresh.run(Duration::from_secs(20));
         delayed.run(Duration::from_secs(20));
         assert_that!(fresh.mixed_pass, none(), "seed {seed}");
@@ -84,7 +79,7 @@
             late_rate: f64::from(rng.random_range(0..60u32)) / 100.0,
             fresh_rate: [0.0, 0.5, 0.95, 1.0][rng.random_range(0..4usize)],
         };
-        let mut group = SimulatedGroup::new(seed, RANKS, faults);
+        let mut group = GroupModel::new(seed, RANKS, faults);
         for _ in 0..rng.random_range(3..14u32) {
             group.run(Duration::from_millis(rng.random_range(50..3_000)));
             match rng.random_range(0..6u32) {
@@ -162,7 +157,7 @@
         late_rate: 0.3,
         fresh_rate: 0.5,
     };
-    let mut group = SimulatedGroup::new(5, RANKS, faults);
+    let mut group = GroupModel::new(5, RANKS, faults);
 
     group.run(Duration::from_secs(40));
 
@@ -202,7 +197,7 @@
             fresh_rate,
             ..Faults::default()
         };
-        let mut group = SimulatedGroup::new(1, RANKS, faults);
+        let mut group = GroupModel::new(1, RANKS, faults);
         group.freeze_leader();
         group.run(Duration::from_secs(3));
         let before = group.now();
@@ -256,7 +251,7 @@
             fresh_rate: 0.8,
             ..Faults::default()
         };
-        let mut group = SimulatedGroup::new(seed, RANKS, faults);
+        let mut group = GroupModel::new(seed, RANKS, faults);
         group.run_until(|g| g.last_order() == Some("hold"), Duration::from_secs(20));
         group.freeze_leader();
         group.run(Duration::from_secs(1));
@@ -282,11 +277,11 @@
             fresh_rate: 1.0,
             ..Faults::default()
         };
-        let mut group = SimulatedGroup::new(seed, RANKS, faults);
+        let mut group = GroupModel::new(seed, RANKS, faults);
         group.run(Duration::from_millis(5_000 + 37 * seed));
         group.crash(2);
         group.run_until(|g| !g.is_open(), Duration::from_secs(1));
-        group.run_until(SimulatedGroup::is_open, Duration::from_secs(5));
+        group.run_until(GroupModel::is_open, Duration::from_secs(5));
         let (start, before) = (group.now(), group.switches);
         group.run_until(|g| g.switches > before, Duration::from_secs(5));
         switch_time += group.now() - start;
--- a/crates/group/tests/ranks.rs
+++ b/crates/group/tests/ranks.rs
@@ -44,13 +44,9 @@
     for (fence, incarnation, outcome) in ORDERS {
         let mut rank = rank();
 
-        let result = rank.admit(&grant(fence, incarnation));
+        let got = rank.admit(&grant(fence, incarnation));
 
-        expect_that!(
-            result,
-            eq(outcome),
-            "fence {fence}, incarnation {incarnation}"
-        );
+        expect_that!(got, eq(outcome), "fence {fence}, incarnation {incarnation}");
         let granted = if outcome.is_ok() { 900 } else { 0 };
         expect_that!(rank.report().granted, eq(granted));
     }
--- a/crates/group/tests/spread.rs
+++ b/crates/group/tests/spread.rs
@@ -106,8 +106,7 @@
     expect_that!(imbalance(&next, &loads, limits(&HEALTHY)), lt(1.25));
 }
 
-/// Two ranks with two slots each, all of them taken: one holds two heavy experts, the other two
-/// light ones.
+/// Two ranks with two slots each, all taken: one holds two heavy experts, the other two light ones.
 #[googletest::test]
 fn full_ranks_exchange_experts() {
     let layer = vec![vec![0], vec![0], vec![1], vec![1]];
--- a/crates/group/tests/switches.rs
+++ b/crates/group/tests/switches.rs
@@ -84,7 +84,7 @@
     leases_lag: bool,
 }
 
-struct SimulatedGroup {
+struct GroupModel {
     faults: FaultModel,
     rng: SmallRng,
     now: Duration,
@@ -104,8 +104,8 @@
     step_versions: BTreeMap<Step, Version>,
 }
 
-impl SimulatedGroup {
-    fn new(seed: u64, faults: FaultModel) -> SimulatedGroup {
+impl GroupModel {
+    fn new(seed: u64, faults: FaultModel) -> GroupModel {
         let committed = CommittedState {
             version: 1,
             first_step: 0,
@@ -114,7 +114,7 @@
             reserved_until: 0,
             ranks: RANKS,
         };
-        let mut group = SimulatedGroup {
+        let mut group = GroupModel {
             faults,
             rng: SmallRng::seed_from_u64(seed),
             now: Duration::ZERO,
@@ -349,7 +349,7 @@
 }
 
 fn run_schedule(seed: u64, faults: FaultModel, events: &[Event]) -> Result<(), TestCaseError> {
-    let mut group = SimulatedGroup::new(seed, faults);
+    let mut group = GroupModel::new(seed, faults);
     group.run(40)?;
     for event in events {
         group.apply(event)?;
@@ -425,7 +425,7 @@
 /// long time, and no steps are granted meanwhile.
 #[gtest]
 fn ranks_continue_while_one_is_still_loading() {
-    let mut group = SimulatedGroup::new(
+    let mut group = GroupModel::new(
         1,
         FaultModel {
             old_leaders: false,
