--- a/crates/backpressure/src/senders.rs
+++ b/crates/backpressure/src/senders.rs
@@ -3,7 +3,7 @@
 //! An equal share for each of some hundred gateways would be one request in minutes, and their
 //! first requests alone would exceed the limit. So only a few may send. All gateways choose the
 //! same ones from the list of gateways that callers are sent to, so no share is requested or
-//! returned. Each backend server has others.
+//! returned. The choice differs for each backend server.
 
 use crate::ServerId;
 use siphasher::sip::SipHasher13;
--- a/crates/backpressure/src/state.rs
+++ b/crates/backpressure/src/state.rs
@@ -25,11 +25,11 @@
 /// What a response of a backend server requests of its senders.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Directives {
-    /// Requests per second that it accepts from all gateways together.
+    /// Requests per second that the backend server accepts from all gateways together.
     pub limit: Option<f64>,
-    /// It accepts no requests from this gateway for this long.
+    /// The backend server accepts no requests from this gateway for this long.
     pub backoff: Option<Duration>,
-    /// It accepts no new work any more.
+    /// The backend server accepts no new work any more.
     pub leaving: bool,
     /// A directive could not be parsed and is ignored.
     pub malformed: bool,
@@ -69,7 +69,7 @@
     schedule: Option<Schedule>,
     /// Set until a response shows that it is over.
     backoff: Option<Backoff>,
-    /// It said that it accepts no new work. This start never revokes that.
+    /// The backend server said that it accepts no new work. This start never revokes that.
     leaving: bool,
     /// Number of changes of when requests may be sent.
     changes: u64,
@@ -123,7 +123,7 @@
         Some(now.saturating_sub(before))
     }
 
-    /// It said in a response that it is leaving.
+    /// Whether the backend server said in a response that it is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
@@ -202,12 +202,12 @@
         }
     }
 
-    /// It requested a backoff, and it is not known yet whether it accepts requests again.
+    /// Whether the backend server requested a backoff and is not known to accept requests again.
     pub fn is_backing_off(&self) -> bool {
         self.backoff.is_some()
     }
 
-    /// A request may be sent now.
+    /// Whether a request may be sent now.
     pub fn may_send(&self, now: Duration) -> bool {
         self.next_send_at().is_some_and(|at| at <= now)
     }
@@ -222,8 +222,7 @@
         }
     }
 
-    /// Number of changes of when requests may be sent: it differs between two moments if there was
-    /// one.
+    /// Number of changes of when requests may be sent: it grows with each change.
     pub fn changes(&self) -> u64 {
         self.changes
     }
--- a/crates/backpressure/tests/rests.rs
+++ b/crates/backpressure/tests/rests.rs
@@ -114,7 +114,7 @@
             }
             if state.may_send(now) {
                 state.on_sent(now);
-                // Up to 0.3 s in transit, a response within 0.2 s; accepted streams respond late.
+                // Up to 0.3 s in transit; a response within 20 ms, or 1.5 s if it is accepted.
                 let arrives = now + at(rng.random_range(1..300));
                 arrivals.push(arrives);
                 let longest = if full { 20 } else { 1_500 };
--- a/crates/backpressure/tests/world/mod.rs
+++ b/crates/backpressure/tests/world/mod.rs
@@ -64,7 +64,7 @@
     limit: Limit,
     named_limit: Option<f64>,
     first_named_at: Option<Duration>,
-    /// Requests in transit: arrival, gateway, when it was sent.
+    /// Requests in transit: arrival, gateway, and the arrival again as the time of sending.
     in_transit: Vec<(Duration, usize, Duration)>,
     responses: Vec<(Duration, usize, Feedback)>,
     arrivals: VecDeque<Arrival>,
--- a/crates/claim/src/gate.rs
+++ b/crates/claim/src/gate.rs
@@ -33,8 +33,9 @@
 }
 
 impl Gate {
-    /// Renews the lease. One of an older leader or revision changes nothing: several entries
-    /// answer, and one that lags must not undo a drain.
+    /// Renews the lease. One of an older leader changes nothing. One of an older revision extends
+    /// the lease and sets the fence, but its drain state is ignored: several entries answer, and
+    /// one that lags must not undo a drain.
     pub fn renew_lease(&mut self, until: Duration, fence: u64, revision: u64, drained: bool) {
         if fence < self.fence {
             return;
@@ -46,12 +47,12 @@
         }
     }
 
-    /// Holds a lease, and so may act on the settled configuration.
+    /// Whether this agent holds a lease, and so may act on the settled configuration.
     pub fn has_lease(&self, now: Duration) -> bool {
         now < self.lease_end
     }
 
-    /// No new work is accepted.
+    /// Whether new work is refused.
     pub fn is_leaving(&self) -> bool {
         self.leaving || self.backend_leaving || self.drained
     }
--- a/crates/claim/src/holder.rs
+++ b/crates/claim/src/holder.rs
@@ -85,7 +85,7 @@
         self.claims.len()
     }
 
-    /// No claims are held.
+    /// Whether no claims are held.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -119,8 +119,9 @@
     }
 }
 
-/// Whether the request may go to another backend server although it may have run. A suspect may
-/// not: the next backend server would terminate, too, before this termination is known.
+/// Whether the request may go to another backend server although it may have run; if so, charges
+/// the retry budget. A suspect may not: the next backend server would terminate, too, before this
+/// termination is known.
 pub(crate) fn take_retry(shared: &Shared, ctx: &RequestContext, attempts: &Attempts) -> bool {
     let may = ctx.idempotent() && attempts.trial.is_none() && attempts.sent < ctx.route.attempts;
     may && shared.try_withdraw_retry(&ctx.service)
--- a/crates/limit/src/bucket.rs
+++ b/crates/limit/src/bucket.rs
@@ -16,7 +16,7 @@
 pub struct RateGrant {
     /// Requests per second.
     pub rate: f64,
-    /// End of the share's lease; after it the grant admits nothing.
+    /// End of the share's lease; afterwards the default rate applies.
     pub until: Duration,
 }
 
@@ -43,8 +43,8 @@
         self.accounts.entry(account.into()).or_default().grant = Some(grant);
     }
 
-    /// Admits a request, or returns when to retry. An account without a grant yet is given
-    /// `default_rate`, its equal share, which every entry may use without a grant.
+    /// Admits a request, or returns how long to wait. Without a valid grant `default_rate` applies:
+    /// a quarter of an equal share, which every entry may use without a grant.
     pub fn admit(
         &mut self,
         now: Duration,
@@ -70,7 +70,7 @@
     }
 
     /// Demand of each account since the last call, in requests per second, smoothed. Accounts
-    /// without demand are left out and dropped.
+    /// without demand are left out, and dropped unless their grant is valid.
     pub fn take_demand(&mut self, now: Duration) -> Vec<(AccountId, f64)> {
         let elapsed = now.saturating_sub(self.measured_at).as_secs_f64().max(1e-3);
         self.measured_at = now;
