--- a/crates/backpressure/src/state.rs
+++ b/crates/backpressure/src/state.rs
@@ -87,7 +87,7 @@
         set: &GatewaySet,
         draw: f64,
     ) -> Option<Duration> {
-        let changed = self.note(now, feedback.directives);
+        let changed = self.update_directives(now, feedback.directives);
         let rate = feedback.directives.limit;
         let raised = stricter(self.limit.rate.map(|r| r * MIN_INCREASE), rate);
         if !raised {
@@ -104,7 +104,7 @@
         changed
     }
 
-    fn note(&mut self, now: Duration, directives: Directives) -> Option<Duration> {
+    fn update_directives(&mut self, now: Duration, directives: Directives) -> Option<Duration> {
         let kinds = |d: &Directives| {
             (
                 d.limit.is_some(),
--- a/crates/backpressure/tests/limits.rs
+++ b/crates/backpressure/tests/limits.rs
@@ -73,7 +73,7 @@
     }
 }
 
-/// Failure: a limit is exceeded while gateways restart, are cut off or stop, and their list changes.
+/// Failure: a limit is exceeded as gateways restart, are cut off or stop, and their list changes.
 #[googletest::test]
 fn a_limit_holds_while_gateways_join_and_leave() {
     for size in SIZES {
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -59,7 +59,7 @@
             .map_err(|refusal| attempts.final_refusal(refusal))?;
         let reservation = placement::reserve(shared, ctx, &attempts.tried).await;
         let reservation = reservation.map_err(|refusal| attempts.final_refusal(refusal))?;
-        // It waited for its slot, and more may be known of the request by now.
+        // The request waited for its slot, and more may be known of it by now.
         let admitted = suspects::admit(shared, ctx, attempts).await;
         admitted.map_err(|refusal| attempts.final_refusal(refusal))?;
         let id = reservation.server.id.clone();
--- a/crates/gateway/src/feedback.rs
+++ b/crates/gateway/src/feedback.rs
@@ -33,18 +33,18 @@
         authentic: markers.contains(&true) && text(headers, header::ATTEMPT) == Some(&ctx.id),
     };
     let now = shared.now();
-    let (previous, limit, interval) = {
+    let (held_for, limit, interval) = {
         let mut state = shared.state();
         let draw = rand::random();
-        let previous =
+        let held_for =
             state
                 .fleet
                 .record_answer(now, &server.id, server.start_time, &feedback, draw);
-        let backpressure = state.fleet.get(&server.id).map(|s| &s.terms);
-        let limit = backpressure.map(|t| t.limit()).unwrap_or_default();
-        (previous, limit, backpressure.and_then(|t| t.interval()))
+        let backpressure = state.fleet.get(&server.id).map(|s| &s.backpressure);
+        let limit = backpressure.map(|b| b.limit()).unwrap_or_default();
+        (held_for, limit, backpressure.and_then(|b| b.interval()))
     };
-    let Some(previous_interval) = previous else {
+    let Some(held_for) = held_for else {
         return;
     };
     let directives = feedback.directives;
@@ -56,7 +56,7 @@
             "limit": directives.limit, "rest_ms": directives.backoff.map(millis),
             "leaving": directives.leaving, "unread": directives.malformed,
             "own": feedback.authentic, "held_limit": limit.rate, "turn": limit.version,
-            "gap_ms": interval.map(millis), "before_ms": millis(previous_interval),
+            "gap_ms": interval.map(millis), "before_ms": millis(held_for),
         }),
     );
 }
@@ -69,7 +69,9 @@
         let changed = fleet.merge_limit(now, &record.id, record.limit, rand::random());
         (
             changed,
-            fleet.get(&record.id).and_then(|s| s.terms.interval()),
+            fleet
+                .get(&record.id)
+                .and_then(|s| s.backpressure.interval()),
         )
     };
     if changed {
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -320,8 +320,8 @@
     Refusal::retryable(reason, retry_delay(shared, ctx))
 }
 
-/// When a refused caller should retry. A stalled group remains so for some seconds: then the latest
-/// time at which callers still follow the advice.
+/// Delay after which a refused caller should retry. A group stalls for some seconds, so its callers
+/// are given about the longest delay after which they still retry.
 pub(crate) fn retry_delay(shared: &Shared, ctx: &RequestContext) -> Duration {
     let now = shared.now();
     let remaining = ctx.remaining(now);
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -138,7 +138,7 @@
         self.state().document.clone()
     }
 
-    /// Returns the document in force; waits for the first one until then.
+    /// Returns the document in force; waits for the first one up to the time `until`.
     pub(crate) async fn wait_for_document(&self, until: Duration) -> Option<Arc<Document>> {
         loop {
             let document = self.document();
@@ -162,7 +162,7 @@
         self.stopped_accepting.load(Ordering::Relaxed)
     }
 
-    /// Whether callers may be sent here: it knows the settled configuration and is not stopping.
+    /// Whether callers may be sent here: the settled configuration is known, and no stop has begun.
     pub(crate) fn is_ready(&self) -> bool {
         !self.is_closing() && self.state().document.is_some()
     }
@@ -186,7 +186,7 @@
         };
         let engine = document
             .as_ref()
-            .and_then(|p| p.services().get(service)?.engine);
+            .and_then(|d| d.services().get(service)?.engine);
         let bounds = PauseBounds {
             max_pause,
             idle_pass: engine.map_or(Duration::ZERO, |e| {
--- a/crates/limit/src/queue.rs
+++ b/crates/limit/src/queue.rs
@@ -58,8 +58,8 @@
 
     /// Whether a request of this or a higher priority is waiting.
     pub fn has_at_least(&self, priority: u32) -> bool {
-        let rivals = self.queues.iter().filter(|((p, _), _)| *p >= priority);
-        rivals.map(|(_, q)| q).any(|q| !q.waiting.is_empty())
+        let queues = self.queues.iter().filter(|((p, _), _)| *p >= priority);
+        queues.map(|(_, q)| q).any(|q| !q.waiting.is_empty())
     }
 
     /// Enqueues a request, or returns its expected wait if that exceeds its deadline or the queue
--- a/crates/limit/tests/limits.rs
+++ b/crates/limit/tests/limits.rs
@@ -177,9 +177,9 @@
     served
 }
 
-/// Guards against takeovers waiting behind notices, or nine accounts behind one: one account floods
-/// the queue, others send little, and some requests are urgent. The queue was first come, first
-/// served.
+/// Guards against urgent requests waiting behind others, or nine accounts behind one: one account
+/// floods the queue, others send little, and some requests are urgent. The queue was first come,
+/// first served.
 #[gtest]
 fn urgent_requests_go_first_and_accounts_share_by_weight() {
     let mut queue = Queue::default();
--- a/crates/quarantine/src/case.rs
+++ b/crates/quarantine/src/case.rs
@@ -54,13 +54,12 @@
         }
     }
 
-    /// There is evidence against the request.
+    /// Whether there is evidence against the request.
     pub fn is_open(&self) -> bool {
         self.refused || !self.terminations.is_empty()
     }
 
-    /// A backend server terminated under it; `sole_trial` if that was the request's only trial in
-    /// the fleet.
+    /// Adds a termination under the request; `sole_trial` if that was its only trial in the fleet.
     pub(crate) fn add(&mut self, start: Start, sole_trial: bool) {
         if self.terminations.len() < MAX_TERMINATIONS {
             self.terminations.insert(start);
@@ -68,7 +67,7 @@
         self.refused |= sole_trial;
     }
 
-    /// It is innocent: the evidence against it is void, also if it is received again later.
+    /// Closes the case: the evidence so far is void, also if it is received again later.
     pub(crate) fn close(&mut self) {
         *self = Case {
             round: self.round + 1,
--- a/crates/quarantine/src/losses.rs
+++ b/crates/quarantine/src/losses.rs
@@ -66,7 +66,7 @@
 pub struct LossTracker(IndexMap<Start, Row>);
 
 impl LossTracker {
-    /// A run was lost.
+    /// Records a lost run; returns what to do next.
     pub fn on_lost(
         &mut self,
         now: Duration,
--- a/crates/quarantine/src/table.rs
+++ b/crates/quarantine/src/table.rs
@@ -44,7 +44,7 @@
 }
 
 impl Table {
-    /// No case is known.
+    /// Whether no case is known.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
@@ -60,7 +60,7 @@
         row.map_or(CaseStatus::Free, |r| r.case.status())
     }
 
-    /// There is evidence against a request.
+    /// Whether there is evidence against a request.
     pub fn is_open(&self, digest: Digest) -> bool {
         self.rows.get(&digest).is_some_and(|r| r.case.is_open())
     }
@@ -89,7 +89,7 @@
         updates.collect()
     }
 
-    /// A backend server terminated under `digest`; returns whether that changed the case.
+    /// Adds a termination under `digest`; returns whether that changed the case.
     pub fn add_termination(
         &mut self,
         now: Duration,
@@ -100,8 +100,8 @@
         self.change(now, digest, |case| case.add(start.clone(), sole_trial))
     }
 
-    /// The request got a complete response, or an operator vouches for it. A request without an
-    /// open case is left as it is.
+    /// Closes the case of a request that got a complete response, or that an operator declares
+    /// harmless. A request without an open case is left as it is.
     pub fn close(&mut self, now: Duration, digest: Digest) -> bool {
         self.is_open(digest) && self.change(now, digest, Case::close)
     }
--- a/crates/quarantine/tests/world/mod.rs
+++ b/crates/quarantine/tests/world/mod.rs
@@ -68,7 +68,7 @@
     table: Table,
     losses: LossTracker,
     cursors: Vec<u64>,
-    /// It has heard from a coordinator since its start; it serves no requests before.
+    /// It has polled a coordinator since its start; it serves no requests before.
     ready: bool,
 }
 
--- a/crates/route/src/backpressure.rs
+++ b/crates/route/src/backpressure.rs
@@ -22,12 +22,13 @@
     ) -> Option<Duration> {
         let server = self.servers.get_mut(id);
         let server = server.filter(|s| s.start_time == start_time)?;
-        let before = server.terms.limit();
-        let prior = server
-            .terms
-            .on_response(now, &server.id, feedback, &self.gateways, draw);
-        server.leaving |= server.terms.is_leaving();
-        if server.terms.limit() != before {
+        let before = server.backpressure.limit();
+        let prior =
+            server
+                .backpressure
+                .on_response(now, &server.id, feedback, &self.gateways, draw);
+        server.leaving |= server.backpressure.is_leaving();
+        if server.backpressure.limit() != before {
             self.pending_limits.insert(server.id.clone(), None);
         }
         prior
@@ -39,9 +40,9 @@
             return false;
         };
         let changed = server
-            .terms
+            .backpressure
             .merge_limit(now, &server.id, limit, &self.gateways, draw);
-        match server.terms.is_known_at(limit.version) {
+        match server.backpressure.is_known_at(limit.version) {
             true => {
                 self.pending_limits.swap_remove(id);
             }
@@ -63,7 +64,7 @@
         self.gateways = gateways;
         for server in self.servers.values_mut() {
             server
-                .terms
+                .backpressure
                 .reschedule(now, &server.id, &self.gateways, draw());
         }
     }
@@ -76,12 +77,12 @@
         else {
             return false;
         };
-        if server.terms.changes() == picked.terms.changes() {
+        if server.backpressure.changes() == picked.backpressure.changes() {
             return true;
         }
-        let open = server.terms.may_send(now);
+        let open = server.backpressure.may_send(now);
         if open {
-            server.terms.on_sent(now);
+            server.backpressure.on_sent(now);
         }
         open
     }
@@ -100,30 +101,30 @@
             limits.push(ServerLimit {
                 id: id.clone(),
                 start_time: server.start_time,
-                limit: server.terms.limit(),
+                limit: server.backpressure.limit(),
             });
         }
         limits
     }
 
-    /// Number of backend servers that accept no request of this gateway now, as they asked.
+    /// Number of backend servers whose directives allow no request of this gateway now.
     pub fn throttled_count(&self, now: Duration) -> usize {
         let servers = self.servers.values();
-        let throttled = |s: &&Server| s.terms.is_leaving() || !s.terms.may_send(now);
+        let throttled = |s: &&Server| s.backpressure.is_leaving() || !s.backpressure.may_send(now);
         servers.filter(throttled).count()
     }
 
-    /// Whether all backend servers of a service accept no request of this gateway, as they asked.
+    /// Whether the directives of all backend servers of a service allow no request of this gateway.
     pub fn is_throttled(&self, now: Duration, service: &str) -> bool {
         let mut accepting = self.accepting(service).peekable();
-        accepting.peek().is_some() && accepting.all(|s| !s.terms.may_send(now))
+        accepting.peek().is_some() && accepting.all(|s| !s.backpressure.may_send(now))
     }
 
     /// Earliest time at which a backend server of a service may be sent a request; `None` if only
     /// other gateways send to them.
     pub fn next_send_at(&self, service: &str) -> Option<Duration> {
         self.accepting(service)
-            .filter_map(|s| s.terms.next_send_at())
+            .filter_map(|s| s.backpressure.next_send_at())
             .min()
     }
 
--- a/crates/route/src/fill_controller.rs
+++ b/crates/route/src/fill_controller.rs
@@ -8,8 +8,8 @@
 //!
 //! A pass takes a fixed time, which the engine's operator publishes, and a time that grows with the
 //! load. The pauses show the latter per unit of load, which gives the load at which a pass takes
-//! the target time. Adjusting the limit in steps until the pauses fit took seconds for that, and
-//! overshot each time the limit rose again.
+//! the target time. Finding that load by adjusting the limit in steps took seconds, and overshot
+//! each time the limit rose again.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 /// their effect on pauses shows.
 const TARGET: f64 = 0.9;
 /// If a pass takes longer than [`TARGET`] without load, for instance with a rank several times
-/// slower than usual, no stream can be in time. A pass may then take this many times that: its
+/// slower than usual, no stream can be in time. A pass may then take this multiple of that time:
 /// streams complete before their callers give up, and as many as possible get a late answer.
 const LATE_FACTOR: f64 = 1.5;
 /// Minimum growth of a pass that counts, as a fraction of the allowed pause: less than that is time
--- a/crates/route/src/fleet.rs
+++ b/crates/route/src/fleet.rs
@@ -47,8 +47,8 @@
     Stalled,
     /// The group has been stalled for so long that waiting is no use.
     Down,
-    /// All accept no request of this gateway before then, as they asked; `None` if only other
-    /// gateways send to them.
+    /// By their directives, all accept no request of this gateway before this time; `None` if only
+    /// other gateways send to them.
     Throttled(Option<Duration>),
 }
 
@@ -84,7 +84,7 @@
 }
 
 impl Fleet {
-    /// Creates an empty fleet for a gateway in that failure domain.
+    /// Creates an empty fleet for a gateway in this failure domain.
     pub fn new(domain: &str) -> Fleet {
         Fleet {
             servers: IndexMap::new(),
@@ -102,7 +102,7 @@
         match self.servers.get_mut(&server.id) {
             Some(known) => {
                 // Its own answers are more recent than its announcement, which may never arrive.
-                known.leaving = server.leaving || known.terms.is_leaving();
+                known.leaving = server.leaving || known.backpressure.is_leaving();
                 known.slowdown = server.slowdown;
                 known.unit = server.unit;
                 known.slots = server.slots;
@@ -157,11 +157,11 @@
         // and would be picked every time: only its own directives prevent that.
         let next_send_at = candidates
             .iter()
-            .filter_map(|s| s.terms.next_send_at())
+            .filter_map(|s| s.backpressure.next_send_at())
             .min();
         let candidates: Vec<&Server> = candidates
             .into_iter()
-            .filter(|s| s.terms.may_send(now))
+            .filter(|s| s.backpressure.may_send(now))
             .collect();
         if candidates.is_empty() {
             return Err(Unavailable::Throttled(next_send_at));
@@ -283,7 +283,7 @@
     pub fn record_sent(&mut self, now: Duration, id: &str) {
         if let Some(server) = self.servers.get_mut(id) {
             server.in_flight += 1;
-            server.terms.on_sent(now);
+            server.backpressure.on_sent(now);
             if let Some(stall) = self.stalled.get_mut(&server.unit) {
                 stall.next_probe = now + PROBE_INTERVAL;
             }
@@ -380,7 +380,7 @@
 /// Leaves out those that may reject a request, if there are others: requests that may still be sent
 /// elsewhere find out whether a backend server accepts more after a backoff.
 fn without_backoff(candidates: Vec<&Server>) -> Vec<&Server> {
-    let not_backing_off = |s: &&Server| !s.terms.is_backing_off();
+    let not_backing_off = |s: &&Server| !s.backpressure.is_backing_off();
     match candidates.iter().any(not_backing_off) {
         true => candidates.into_iter().filter(not_backing_off).collect(),
         false => candidates,
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -54,7 +54,7 @@
 }
 
 impl Policy {
-    /// Returns the policy of that name; for an unknown name, the project's own.
+    /// Returns the policy of that name; for an unknown name, the default.
     pub fn named(name: &str) -> Policy {
         let baseline = |sample, cost| Policy {
             sample,
--- a/crates/route/src/server.rs
+++ b/crates/route/src/server.rs
@@ -41,11 +41,11 @@
 pub struct Server {
     /// Id.
     pub id: ServerId,
-    /// Which start of it this is.
+    /// Start time of its process.
     pub start_time: StartTime,
     /// Service.
     pub service: String,
-    /// What it fails and slows down together with.
+    /// Unit that it belongs to.
     pub unit: Unit,
     /// Address at which it accepts requests.
     pub address: SocketAddr,
@@ -57,8 +57,8 @@
     pub leaving: bool,
     /// Time it takes for the same work, relative to a sound one.
     pub slowdown: f64,
-    /// Directives it has sent to its senders.
-    pub terms: Backpressure,
+    /// Backpressure that it applies to this gateway.
+    pub backpressure: Backpressure,
     /// Health from the outcomes of requests.
     pub health: HealthRecord,
     /// This gateway's requests in flight there.
@@ -83,7 +83,7 @@
             slots,
             leaving: false,
             slowdown: 1.0,
-            terms: Backpressure::default(),
+            backpressure: Backpressure::default(),
             health: HealthRecord::default(),
             in_flight: 0,
             peer_requests: 0.0,
--- a/crates/route/tests/asked.rs
+++ b/crates/route/tests/asked.rs
@@ -16,11 +16,11 @@
         fleet.upsert(Server::new(&format!("b{n}"), "s", address, "d0", 4));
     }
     let own = ([10, 1, 0, 1], 80).into();
-    let share = GatewaySet {
+    let set = GatewaySet {
         own: Some(own),
         gateways: vec![own],
     };
-    fleet.set_gateways(NOW, share, || 0.0);
+    fleet.set_gateways(NOW, set, || 0.0);
     fleet
 }
 
@@ -34,9 +34,9 @@
     fleet.pick(now, &args, || 0.0).map(|s| s.id.clone())
 }
 
-fn respond(fleet: &mut Fleet, now: Duration, id: &str, asked: Directives) -> Option<Duration> {
+fn respond(fleet: &mut Fleet, now: Duration, id: &str, directives: Directives) -> Option<Duration> {
     let feedback = Feedback {
-        directives: asked,
+        directives,
         sent_at: now,
         authentic: true,
     };
--- a/crates/route/tests/overload.rs
+++ b/crates/route/tests/overload.rs
@@ -14,7 +14,8 @@
 /// Requests per tenth of a second: the group can serve 9.6.
 const BURST: usize = 13;
 const NORMAL: usize = 8;
-/// The same for the time after which a refused caller retries.
+/// Minimum time in tenths of a second after which a refused caller retries, and how much longer
+/// the longest is.
 const RETRY_MIN: usize = 9;
 const RETRY_SPREAD: usize = 14;
 /// Length in tenths of a second of the burst, and of the simulation.
@@ -124,7 +125,7 @@
         |now, late| with_outage(now, fill_limit_for(late, 1.0)),
     );
 
-    // What does not fit into the slots is lost in either case; a third fewer are.
+    // What does not fit into the slots is lost in either case; without the cap a third less is.
     expect_that!(uncapped.lost * 3, le(capped.lost * 2));
     // Requests in time lose little by it once the group runs.
     let (in_time, in_time_capped) = (uncapped.early + uncapped.after, capped.early + capped.after);
