--- a/crates/claim/tests/claims.rs
+++ b/crates/claim/tests/claims.rs
@@ -86,7 +86,7 @@
     }
 }
 
-/// The same failure with a wall clock that jumps: the key's mint time is up to the clock
+/// The failure above, with a wall clock that jumps: the key's mint time is up to the clock
 /// bound ahead of the holder's clock.
 #[gtest]
 fn a_clock_ahead_within_the_bound_does_not_free_a_forgotten_key() {
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -42,7 +42,7 @@
     Head(Box<Head>),
     /// No backend server was reached: no byte was sent.
     NotSent(&'static str),
-    /// Since it was picked, the backend server has directed not to send now: no byte was sent.
+    /// Directives received after the backend server was picked forbid it now: no byte was sent.
     Withheld,
     /// The backend server says that it did not run it.
     NotRun(NotRunReason),
--- a/crates/limit/src/queue.rs
+++ b/crates/limit/src/queue.rs
@@ -40,7 +40,7 @@
     last_start: Option<Duration>,
 }
 
-/// Idle time does not tell how fast requests can start: longer intervals count as this, in seconds.
+/// Longer intervals count as this, in seconds: idle time does not show how fast requests can start.
 const MAX_START_GAP: f64 = 0.5;
 /// Weight of the latest interval between starts.
 const GAP_WEIGHT: f64 = 0.05;
--- a/crates/route/tests/fleet.rs
+++ b/crates/route/tests/fleet.rs
@@ -118,8 +118,8 @@
 
 /// Guards against a tenth of the gateways refusing all callers for four seconds after an outage:
 /// the group runs again and the fill limit is at the minimum; the others measure more and fill the
-/// group above that. Compared to everyone's load, the minimum never left this gateway a stream to
-/// measure by.
+/// group above that. The minimum was compared to the load of all gateways, so that this one never
+/// had a stream to measure by.
 #[googletest::test]
 fn gateway_without_a_stream_takes_one_to_measure_by() {
     let mut fleet = fleet(4);
@@ -198,7 +198,7 @@
     expect_that!(refused, eq(0));
 }
 
-/// Guards against the same refusals after a backend server was seen full once: it reports full
+/// Guards against refusing requests after a backend server was seen full once: it reports full
 /// slots and nothing follows for seconds. The last report was used forever.
 #[googletest::test]
 fn reported_load_decays() {
--- a/crates/route/tests/pace.rs
+++ b/crates/route/tests/pace.rs
@@ -95,7 +95,7 @@
 
 /// Guards against refusing nine in ten callers, without any answer, for as long as one rank is
 /// slow: passes take longer than allowed at any load, and the fill limit falls to the minimum and
-/// stays there. It only served streams in time, of which there can be none.
+/// stays there. Only streams in time were admitted, of which there can be none.
 #[googletest::test]
 fn late_answers_are_allowed_when_none_can_be_in_time() {
     let with_slow_rank = |ms: u64| PauseBounds {
