--- a/crates/route/src/retry_detector.rs
+++ b/crates/route/src/retry_detector.rs
@@ -15,7 +15,7 @@
 const RETENTION: Duration = Duration::from_secs(10);
 /// Minimum wait of a first attempt, as a fraction of the longest: callers of a route differ by a
 /// seventh. Retries after a short delay may have more time left than that, and are missed.
-const FIRST_ATTEMPT_RATIO: f64 = 0.84;
+const MIN_WAIT_RATIO: f64 = 0.84;
 
 #[derive(Debug, Clone, Copy, Default)]
 struct MaxWait {
@@ -42,9 +42,6 @@
             window.window_start = now;
         }
         window.current = window.current.max(wait);
-        wait < window
-            .current
-            .max(window.previous)
-            .mul_f64(FIRST_ATTEMPT_RATIO)
+        wait < window.current.max(window.previous).mul_f64(MIN_WAIT_RATIO)
     }
 }
--- a/crates/route/tests/overload.rs
+++ b/crates/route/tests/overload.rs
@@ -14,8 +14,7 @@
 /// Requests per tenth of a second: the group can serve 9.6.
 const BURST: usize = 13;
 const NORMAL: usize = 8;
-/// Minimum time in tenths of a second after which a refused caller retries, and how much longer
-/// the longest is.
+/// Tenths of a second from a refusal to its retry: the minimum, and how much longer the longest is.
 const RETRY_MIN: usize = 9;
 const RETRY_SPREAD: usize = 14;
 /// Length in tenths of a second of the burst, and of the simulation.
