--- a/crates/cli/tests/resting.rs
+++ b/crates/cli/tests/resting.rs
@@ -1,4 +1,4 @@
-//! Backend servers behind agents that ask for rest.
+//! Backend servers behind agents that request backoff.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -9,19 +9,19 @@
 use googletest::prelude::*;
 use std::time::{Duration, Instant};
 
-const WITHIN: Duration = Duration::from_secs(20);
-/// Rest that is asked for, and the time of asking within it.
-const REST: Duration = Duration::from_secs(4);
-const ASKING: Duration = Duration::from_secs(3);
-/// Requests that may reach a backend server after its first word: the users' bound.
-const LATE: usize = 2;
+const TIMEOUT: Duration = Duration::from_secs(20);
+/// Backoff that the backend server requests, and the time during it in which requests are sent.
+const BACKOFF: Duration = Duration::from_secs(4);
+const SEND_TIME: Duration = Duration::from_secs(3);
+/// Requests that may reach a backend server after its first rejection: required by users.
+const MAX_LATE: usize = 2;
 
-/// Symptom: callers of some requests get the failure of a backend server that is in need, for as long as it is.
-/// Sequence: it turns a request away and asks for rest; the agent before it passes on the next one, and
-/// the next. Cause: the agent passed the time to come back on and did not read it, as gateways did.
-/// Evidence: 133 requests within the rest, as many as the other backend server got.
+/// Guards against callers that receive the failure of an overloaded backend server for as long as
+/// it is overloaded: it rejects a request and requests backoff, but the agent in front of it still
+/// forwards further requests. The agent passed the retry time on without reading it, as gateways
+/// did. 133 requests arrived during the backoff, as many as the other backend server received.
 #[googletest::test]
-fn an_agent_keeps_requests_from_a_backend_server_that_asks_for_rest() {
+fn an_agent_holds_requests_back_from_a_backend_server_that_requests_backoff() {
     let mut system = System::new(Size {
         entries: 1,
         control: 1,
@@ -31,8 +31,8 @@
     for name in system.names() {
         system.start(&name);
     }
-    let serving = "show backends where state = serving";
-    rows(&system, "e1", serving, 2, WITHIN).unwrap();
+    let query = "show backends where state = serving";
+    rows(&system, "e1", query, 2, TIMEOUT).unwrap();
     let ask = Ask {
         entry: system.callers("e1"),
         service: "notice-gen".into(),
@@ -41,21 +41,21 @@
         tokens: 4,
         deadline_ms: Some(2_000),
     };
-    // Requests with the same beginning go to the same one while it has room.
+    // Requests with the same prompt prefix go to the same backend server while it has capacity.
     send(&ask);
-    let ran = |n: &&str| system.record(n).iter().any(|l| l.event == "start");
-    let chosen = ["n1", "n2"].into_iter().find(ran).unwrap();
-    let order = format!("http://{}/fake/rest", system.fake(chosen));
-    ureq::post(order).send(REST.as_secs().to_string()).unwrap();
+    let has_run = |n: &&str| system.record(n).iter().any(|l| l.event == "start");
+    let chosen = ["n1", "n2"].into_iter().find(has_run).unwrap();
+    let url = format!("http://{}/fake/rest", system.fake(chosen));
+    ureq::post(url).send(BACKOFF.as_secs().to_string()).unwrap();
 
-    let began = Instant::now();
-    while began.elapsed() < ASKING {
+    let start = Instant::now();
+    while start.elapsed() < SEND_TIME {
         send(&ask);
         std::thread::sleep(Duration::from_millis(20));
     }
 
     let record = system.record(chosen);
-    let turned = record.iter().filter(|l| l.event == "turned_away").count();
-    expect_that!(turned, ge(1));
-    expect_that!(turned, le(1 + LATE));
+    let rejected = record.iter().filter(|l| l.event == "turned_away").count();
+    expect_that!(rejected, ge(1));
+    expect_that!(rejected, le(1 + MAX_LATE));
 }
