--- a/crates/cli/tests/asking.rs
+++ b/crates/cli/tests/asking.rs
@@ -1,14 +1,14 @@
-//! Backend servers that ask for fewer requests, over separate processes.
+//! Backend servers that request a lower rate, backoff or departure, in separate processes.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
-// The other tests of a fleet use the rest of it.
+// Other test targets use the rest of this module.
 #[allow(dead_code)]
 mod fleet;
 
 use bn_platform::header::{LEAVING, LIMIT, NOT_RUN, RETRY_AFTER};
 use fleet::Fleet;
-use fleet::asking::{Answer, Arrival, Asked, Asker, ask_all, most_within};
+use fleet::recording::{Arrival, Recorder, ResponseHead, TimedResponse, max_within, send_all};
 use googletest::prelude::*;
 use std::net::TcpListener;
 use std::process::{Child, Command, Stdio};
@@ -18,32 +18,31 @@
 use std::time::{Duration, Instant};
 
 const GATEWAYS: [u8; 3] = [4, 5, 6];
-/// Requests a second that the limited backend server names.
+/// Requests per second in the limit that backend servers set.
 const RATE: f64 = 1.0;
-/// Time after the first word within which all gateways must keep to it, and the span in which it is
-/// then counted: the users' bound is one and a half times what the limit allows, and five.
+/// Time after the first response with the limit within which all gateways must obey it, and the
+/// span over which requests are then counted. Users require at most 1.5 times the limit, plus five.
 const KNOWN_WITHIN: Duration = Duration::from_secs(3);
 const SPAN: Duration = Duration::from_secs(4);
 const ALLOWED: usize = (1.5 * 4.0 * RATE) as usize + 5;
 
-fn fleet_of_three(octet: u8) -> Fleet {
+fn start_three_gateways(octet: u8) -> Fleet {
     let mut fleet = Fleet::start(octet);
     fleet.run_gateway(6);
     fleet.wait("third gateway", |f| f.ready(6));
     fleet
 }
 
-/// Symptom: a backend server that names a limit of some requests a second is sent as many as
-/// before, by all gateways together, for as long as it says so.
-/// Sequence: it names the limit in each answer; the gateways go on choosing it as one of little load.
-/// Cause: nobody read the word, and no gateway knew its part of what all together may send.
-/// Evidence: each gateway sent 13 a second before the word and after it, and none wrote a line of it;
-/// read and kept to by each gateway alone it would have been 3 a second in all.
+/// Guards against a backend server that sets a rate limit in each response and still receives as
+/// many requests as before from all gateways together: they kept choosing it for its low load. The
+/// header was not read, and no gateway knew its share of the total rate. Each gateway sent 13
+/// requests per second before and after the limit, and none logged it; had each gateway obeyed it
+/// on its own, the total would have been 3 per second.
 #[googletest::test]
-fn a_limit_that_a_backend_server_names_holds_over_all_gateways() {
-    let fleet = fleet_of_three(42);
-    let limited = |id: &str| Asker::start(id, |_| ("200 OK", format!("{LIMIT}: {RATE}\r\n")));
-    let free = |id: &str| Asker::start(id, |_| ("200 OK", String::new()));
+fn the_limit_of_a_backend_server_holds_over_all_gateways() {
+    let fleet = start_three_gateways(42);
+    let limited = |id: &str| Recorder::start(id, |_| ("200 OK", format!("{LIMIT}: {RATE}\r\n")));
+    let free = |id: &str| Recorder::start(id, |_| ("200 OK", String::new()));
     let (plain, other) = (limited("plain-limited"), free("plain-free"));
     let (stream, next) = (limited("stream-limited"), free("stream-free"));
     for (server, service) in [(&plain, "plain"), (&other, "plain")] {
@@ -53,11 +52,11 @@
         fleet.announce(&server.backend, "engines", "ready", 1);
     }
 
-    let (gap, time) = (Duration::from_millis(40), Duration::from_secs(12));
-    let looks = thread::scope(|s| {
-        let looks = s.spawn(|| ask_all(&fleet, &GATEWAYS, ("GET", "/look/1"), gap, time));
-        ask_all(&fleet, &GATEWAYS, ("POST", "/draft/1"), gap, time);
-        looks.join().unwrap()
+    let (interval, duration) = (Duration::from_millis(40), Duration::from_secs(12));
+    let gets = thread::scope(|s| {
+        let gets = s.spawn(|| send_all(&fleet, &GATEWAYS, ("GET", "/look/1"), interval, duration));
+        send_all(&fleet, &GATEWAYS, ("POST", "/draft/1"), interval, duration);
+        gets.join().unwrap()
     });
 
     for server in [&plain, &stream] {
@@ -66,43 +65,44 @@
         let later = arrivals.iter().map(|a| a.at).filter(|at| *at >= counted);
         let later: Vec<Instant> = later.collect();
         expect_that!(
-            most_within(&later, SPAN),
+            max_within(&later, SPAN),
             le(ALLOWED),
             "{}",
             server.backend.id
         );
-        // It is used still, as far as it allows.
+        // It still receives requests within its limit.
         expect_that!(later.len(), ge(2), "{}", server.backend.id);
     }
-    let refused = looks.iter().filter(|a| a.answer.status() != 200);
+    let refused = gets.iter().filter(|r| r.response.status() != 200);
     expect_that!(refused.count(), eq(0));
 }
 
-/// What an operator sees of limits.
-fn shown_limits(fleet: &Fleet) -> serde_json::Value {
-    let page = fleet.operators(1).to_string();
+/// Output of the operator command `limits`.
+fn read_limits(fleet: &Fleet) -> serde_json::Value {
+    let address = fleet.operators(1).to_string();
     let mut command = Command::new(env!("CARGO_BIN_EXE_buckthornnotch"));
-    let shown = command.args(["limits", "--at", &page]).output().unwrap();
-    serde_json::from_slice(&shown.stdout).unwrap()
+    let output = command.args(["limits", "--at", &address]).output().unwrap();
+    serde_json::from_slice(&output.stdout).unwrap()
 }
 
-/// A limit goes on after its end, or binds who starts then: only few gateways hear of it themselves.
+/// Guards against a limit that persists after its end, or that a starting gateway does not obey,
+/// since only few gateways receive it directly.
 #[googletest::test]
-fn a_limit_is_known_to_a_gateway_that_starts_and_ends_for_all() {
-    let mut fleet = fleet_of_three(43);
-    let named = Arc::new(AtomicBool::new(true));
-    let names = named.clone();
-    let server = Asker::start("limited", move |_| match names.load(Ordering::Relaxed) {
+fn a_limit_is_known_to_a_starting_gateway_and_ends_for_all() {
+    let mut fleet = start_three_gateways(43);
+    let is_limited = Arc::new(AtomicBool::new(true));
+    let flag = is_limited.clone();
+    let server = Recorder::start("limited", move |_| match flag.load(Ordering::Relaxed) {
         true => ("200 OK", format!("{LIMIT}: {RATE}\r\n")),
         false => ("200 OK", String::new()),
     });
-    let other = Asker::start("free", |_| ("200 OK", String::new()));
+    let other = Recorder::start("free", |_| ("200 OK", String::new()));
     for server in [&server, &other] {
         fleet.announce(&server.backend, "plain", "ready", 1);
     }
     let look = ("GET", "/look/1");
-    let gap = Duration::from_millis(40);
-    ask_all(&fleet, &GATEWAYS, look, gap, Duration::from_secs(2));
+    let interval = Duration::from_millis(40);
+    send_all(&fleet, &GATEWAYS, look, interval, Duration::from_secs(2));
 
     fleet.kill("g6");
     fleet.run_gateway(6);
@@ -110,100 +110,100 @@
     fleet.wait("list", |f| {
         f.addresses(4).contains(&f.callers(6).to_string())
     });
-    let shown = shown_limits(&fleet);
-    let started = server.arrivals().len();
-    ask_all(&fleet, &[6], look, gap, Duration::from_secs(3));
-    let of_started = server.arrivals().len() - started;
-    named.store(false, Ordering::Relaxed);
-    // Each of the three sends once in three seconds.
-    ask_all(&fleet, &GATEWAYS, look, gap, Duration::from_secs(5));
-    let ended = server.arrivals().len();
-    ask_all(&fleet, &GATEWAYS, look, gap, Duration::from_secs(2));
-    let of_all = server.arrivals().len() - ended;
+    let limits = read_limits(&fleet);
+    let before_start = server.arrivals().len();
+    send_all(&fleet, &[6], look, interval, Duration::from_secs(3));
+    let from_started = server.arrivals().len() - before_start;
+    is_limited.store(false, Ordering::Relaxed);
+    // Each of the three gateways sends one request in three seconds.
+    send_all(&fleet, &GATEWAYS, look, interval, Duration::from_secs(5));
+    let before_end = server.arrivals().len();
+    send_all(&fleet, &GATEWAYS, look, interval, Duration::from_secs(2));
+    let from_all = server.arrivals().len() - before_end;
 
     expect_that!(
-        shown["backend_servers"][0]["id"].as_str(),
+        limits["backend_servers"][0]["id"].as_str(),
         some(eq("limited"))
     );
     expect_that!(
-        shown["backend_servers"][0]["limit"].as_f64(),
+        limits["backend_servers"][0]["limit"].as_f64(),
         some(eq(RATE))
     );
     expect_that!(
         fleet.last_line("g6", "backend_server_limit"),
         contains_substring("limited")
     );
-    // Its own part, and no first requests that nobody has told it not to send.
-    expect_that!(of_started, le(2));
-    expect_that!(of_all, ge(40));
+    // It sends its own share, and no initial requests in ignorance of the limit.
+    expect_that!(from_started, le(2));
+    expect_that!(from_all, ge(40));
 }
 
-/// Callers wait for a service of which all have named a limit, until their time is up.
+/// Guards against callers waiting until their deadline when all backend servers have set a limit.
 #[googletest::test]
-fn where_all_are_limited_callers_learn_at_once_when_to_come_back() {
-    let fleet = fleet_of_three(44);
-    let limited = |id: &str| Asker::start(id, |_| ("200 OK", format!("{LIMIT}: 0.2\r\n")));
+fn when_all_are_limited_callers_are_told_at_once_when_to_retry() {
+    let fleet = start_three_gateways(44);
+    let limited = |id: &str| Recorder::start(id, |_| ("200 OK", format!("{LIMIT}: 0.2\r\n")));
     let servers = [limited("a"), limited("b")];
     for server in &servers {
         fleet.announce(&server.backend, "plain", "ready", 1);
     }
-    let (look, gap) = (("GET", "/look/1"), Duration::from_millis(100));
-    ask_all(&fleet, &GATEWAYS, look, gap, Duration::from_secs(2));
+    let (look, interval) = (("GET", "/look/1"), Duration::from_millis(100));
+    send_all(&fleet, &GATEWAYS, look, interval, Duration::from_secs(2));
 
-    let asked = ask_all(&fleet, &GATEWAYS, look, gap, Duration::from_secs(2));
+    let responses = send_all(&fleet, &GATEWAYS, look, interval, Duration::from_secs(2));
 
-    let (served, refused): (Vec<_>, Vec<_>) = asked.iter().partition(|a| a.answer.status() == 200);
+    let (served, refused): (Vec<_>, Vec<_>) =
+        responses.iter().partition(|r| r.response.status() == 200);
     expect_that!(served.len(), le(4));
-    for Asked { answer, .. } in refused {
-        expect_that!(answer.status(), eq(503));
-        let after: f64 = answer.header("retry-after").parse().unwrap();
+    for TimedResponse { response, .. } in refused {
+        expect_that!(response.status(), eq(503));
+        let after: f64 = response.header("retry-after").parse().unwrap();
         expect_that!(after, gt(0.0));
-        expect_that!(answer.text(), contains_substring("not-run"));
+        expect_that!(response.text(), contains_substring("not-run"));
     }
 }
 
-/// Time of rest that backend servers ask for, and how soon a gateway must keep to it: the users' bound,
-/// with as many requests that may still come.
-const REST: Duration = Duration::from_secs(3);
-const KEPT_WITHIN: Duration = Duration::from_millis(500);
-const LATE: usize = 2;
+/// Backoff that backend servers request, the time within which a gateway must obey it, and the
+/// number of requests that may still arrive after that: the bounds that users require.
+const BACKOFF: Duration = Duration::from_secs(3);
+const OBEYED_WITHIN: Duration = Duration::from_millis(500);
+const MAX_LATE: usize = 2;
 
-/// It turns a request away, and asks for rest.
-fn rests() -> Answer {
-    let more = format!("{NOT_RUN}: 1\r\n{RETRY_AFTER}: {}\r\n", REST.as_secs());
-    ("503 Service Unavailable", more)
+/// Rejects a request without running it, and requests backoff.
+fn reject_and_back_off() -> ResponseHead {
+    let headers = format!("{NOT_RUN}: 1\r\n{RETRY_AFTER}: {}\r\n", BACKOFF.as_secs());
+    ("503 Service Unavailable", headers)
 }
 
-/// The same by one that may have run it.
-fn fails_and_rests() -> Answer {
-    let more = format!("{RETRY_AFTER}: {}\r\n", REST.as_secs());
-    ("503 Service Unavailable", more)
+/// Fails a request that may have run, and requests backoff.
+fn fail_and_back_off() -> ResponseHead {
+    let headers = format!("{RETRY_AFTER}: {}\r\n", BACKOFF.as_secs());
+    ("503 Service Unavailable", headers)
 }
 
-/// Requests of a gateway that came to a backend server while this one wanted rest of it.
-fn within_rest(arrivals: &[Arrival], gateway: u8) -> usize {
+/// Number of requests of a gateway that arrived while it should have backed off.
+fn during_backoff(arrivals: &[Arrival], gateway: u8) -> usize {
     let own = arrivals.iter().filter(|a| a.gateway == gateway);
     let times: Vec<Instant> = own.map(|a| a.at).collect();
     let Some(first) = times.first() else {
         return 0;
     };
-    let (from, until) = (*first + KEPT_WITHIN, *first + REST);
+    let (from, until) = (*first + OBEYED_WITHIN, *first + BACKOFF);
     times.iter().filter(|t| **t > from && **t < until).count()
 }
 
-/// Symptom: most callers are refused while half of the backend servers are idle.
-/// Sequence: some backend servers turn requests away and ask for rest; answering at once they have the
-/// least load, so the next requests go to them as well, and are refused after two of them.
-/// Cause: the time to come back that a backend server tells was never read.
-/// Evidence: each gateway alike sent 24 to 39 requests into a rest of 3 s, from its first second to its
-/// last; a gateway that kept to it in part, or late, would have sent fewer.
+/// Guards against most callers being rejected while half of the backend servers are idle. Some
+/// reject requests and request backoff; as they respond at once they have the least load, so the
+/// next requests go to them too, and are rejected after two of them. The retry time was never read:
+/// each gateway sent 24 to 39 requests during a backoff of 3 s, from its first second to its last;
+/// a gateway that obeyed it in part, or late, would have sent fewer.
 #[googletest::test]
-fn a_backend_server_that_asks_for_rest_gets_nothing_until_its_end() {
-    let fleet = fleet_of_three(45);
-    let free = |id: &str| Asker::start(id, |_| ("200 OK", String::new()));
-    let plain = Asker::start("plain-rests", |_| rests());
-    let other = Asker::start("plain-fails", |_| fails_and_rests());
-    let stream = Asker::start("stream-rests", |_| rests());
+fn a_backend_server_that_requests_backoff_receives_nothing_until_its_end() {
+    let fleet = start_three_gateways(45);
+    let free = |id: &str| Recorder::start(id, |_| ("200 OK", String::new()));
+    let plain = Recorder::start("plain-rests", |_| reject_and_back_off());
+    let other = Recorder::start("plain-fails", |_| fail_and_back_off());
+    let stream = Recorder::start("stream-rests", |_| reject_and_back_off());
     let (plain_free, stream_free) = (free("plain-free"), free("stream-free"));
     for server in [&plain, &other, &plain_free] {
         fleet.announce(&server.backend, "plain", "ready", 1);
@@ -212,37 +212,36 @@
         fleet.announce(&server.backend, "engines", "ready", 1);
     }
 
-    let (gap, time) = (Duration::from_millis(40), Duration::from_secs(5));
-    // Until then a request may meet two that turn it away, which is all that its route allows.
-    let known = Instant::now() + KEPT_WITHIN;
-    let asked = thread::scope(|s| {
-        let looks = s.spawn(|| ask_all(&fleet, &GATEWAYS, ("GET", "/look/1"), gap, time));
-        let mut asked = ask_all(&fleet, &GATEWAYS, ("POST", "/draft/1"), gap, time);
-        asked.extend(looks.join().unwrap());
-        asked
+    let (interval, duration) = (Duration::from_millis(40), Duration::from_secs(5));
+    // Before that a request may be rejected by two of them, which is all that its route allows.
+    let obeyed_by = Instant::now() + OBEYED_WITHIN;
+    let responses = thread::scope(|s| {
+        let gets = s.spawn(|| send_all(&fleet, &GATEWAYS, ("GET", "/look/1"), interval, duration));
+        let mut responses = send_all(&fleet, &GATEWAYS, ("POST", "/draft/1"), interval, duration);
+        responses.extend(gets.join().unwrap());
+        responses
     });
 
     for server in [&plain, &other, &stream] {
         for gateway in GATEWAYS {
-            let came = within_rest(&server.arrivals(), gateway);
-            expect_that!(came, le(LATE), "{} from {gateway}", server.backend.id);
+            let late = during_backoff(&server.arrivals(), gateway);
+            expect_that!(late, le(MAX_LATE), "{} from {gateway}", server.backend.id);
         }
     }
-    let later = asked.iter().filter(|a| a.at >= known);
-    let refused = later.filter(|a| a.answer.status() != 200);
+    let later = responses.iter().filter(|r| r.sent_at >= obeyed_by);
+    let refused = later.filter(|r| r.response.status() != 200);
     expect_that!(refused.count(), eq(0));
 }
 
-/// Symptom: backend servers that leave get requests for seconds after they have said so.
-/// Sequence: it says that it leaves in each answer; what announces it comes late, or never.
-/// Cause: only announcements were believed, not what it answers.
-/// Evidence: 15 to 20 requests of each gateway came later than half a second after such an answer, as many
-/// as before it.
+/// Guards against leaving backend servers that receive requests for seconds after they said so in
+/// each response, with the announcement late or missing: only announcements were taken into
+/// account, not responses. 15 to 20 requests of each gateway arrived more than half a second after
+/// such a response, as many as before it.
 #[googletest::test]
-fn a_backend_server_that_says_in_an_answer_that_it_leaves_gets_nothing_more() {
-    let fleet = fleet_of_three(46);
-    let leaves = |id: &str| Asker::start(id, |_| ("200 OK", format!("{LEAVING}: 1\r\n")));
-    let free = |id: &str| Asker::start(id, |_| ("200 OK", String::new()));
+fn a_backend_server_that_signals_leaving_in_a_response_receives_nothing_more() {
+    let fleet = start_three_gateways(46);
+    let leaves = |id: &str| Recorder::start(id, |_| ("200 OK", format!("{LEAVING}: 1\r\n")));
+    let free = |id: &str| Recorder::start(id, |_| ("200 OK", String::new()));
     let (plain, stream) = (leaves("plain-leaves"), leaves("stream-leaves"));
     let (plain_free, stream_free) = (free("plain-free"), free("stream-free"));
     for server in [&plain, &plain_free] {
@@ -252,38 +251,38 @@
         fleet.announce(&server.backend, "engines", "ready", 1);
     }
 
-    let (gap, time) = (Duration::from_millis(40), Duration::from_secs(1));
-    let all = |time| {
+    let (interval, duration) = (Duration::from_millis(40), Duration::from_secs(1));
+    let all = |duration| {
         thread::scope(|s| {
-            s.spawn(|| ask_all(&fleet, &GATEWAYS, ("GET", "/look/1"), gap, time));
-            ask_all(&fleet, &GATEWAYS, ("POST", "/draft/1"), gap, time);
+            s.spawn(|| send_all(&fleet, &GATEWAYS, ("GET", "/look/1"), interval, duration));
+            send_all(&fleet, &GATEWAYS, ("POST", "/draft/1"), interval, duration);
         });
     };
-    all(time);
-    // A later announcement that says nothing of it does not take it back.
+    all(duration);
+    // A later announcement that does not mention leaving does not revoke it.
     fleet.announce(&plain.backend, "plain", "ready", 2);
     fleet.announce(&stream.backend, "engines", "ready", 2);
-    all(time);
+    all(duration);
 
     for server in [&plain, &stream] {
         for gateway in GATEWAYS {
             let arrivals = server.arrivals();
             let own = arrivals.iter().filter(|a| a.gateway == gateway);
             let own: Vec<Instant> = own.map(|a| a.at).collect();
-            let late = own.iter().filter(|t| **t > own[0] + KEPT_WITHIN);
+            let late = own.iter().filter(|t| **t > own[0] + OBEYED_WITHIN);
             expect_that!(late.count(), eq(0), "{} from {gateway}", server.backend.id);
         }
     }
 }
 
-/// Callers are held, or told to come back too soon or too late, while all of a service want rest; at the end
-/// of it all of them come in the same instant.
+/// Guards against callers being held, or told to retry too soon or too late, while all backend
+/// servers of a service request backoff, and then all retrying at the same instant.
 #[googletest::test]
-fn while_all_want_rest_callers_learn_when_it_ends() {
-    let fleet = fleet_of_three(47);
-    let began = Instant::now();
-    let rested = Duration::from_secs(4);
-    let server = Asker::start("rests", move |_| match began.elapsed() < rested {
+fn while_all_request_backoff_callers_are_told_when_it_ends() {
+    let fleet = start_three_gateways(47);
+    let start = Instant::now();
+    let backoff = Duration::from_secs(4);
+    let server = Recorder::start("rests", move |_| match start.elapsed() < backoff {
         true => (
             "503 Service Unavailable",
             format!("{NOT_RUN}: 1\r\n{RETRY_AFTER}: 10\r\n"),
@@ -291,65 +290,71 @@
         false => ("200 OK", String::new()),
     });
     fleet.announce(&server.backend, "plain", "ready", 1);
-    let (look, gap) = (("GET", "/look/1"), Duration::from_millis(50));
-
-    ask_all(&fleet, &GATEWAYS, look, gap, Duration::from_millis(300));
-    let known = server.arrivals().len();
-    let asked = ask_all(&fleet, &GATEWAYS, look, gap, Duration::from_secs(2));
-
-    expect_that!(server.arrivals().len(), eq(known));
-    for Asked { answer, .. } in &asked {
-        expect_that!(answer.status(), eq(503));
-        expect_that!(answer.text(), contains_substring("not-run"));
-        let after: f64 = answer.header("retry-after").parse().unwrap();
+    let (look, interval) = (("GET", "/look/1"), Duration::from_millis(50));
+
+    send_all(
+        &fleet,
+        &GATEWAYS,
+        look,
+        interval,
+        Duration::from_millis(300),
+    );
+    let arrived = server.arrivals().len();
+    let responses = send_all(&fleet, &GATEWAYS, look, interval, Duration::from_secs(2));
+
+    expect_that!(server.arrivals().len(), eq(arrived));
+    for TimedResponse { response, .. } in &responses {
+        expect_that!(response.status(), eq(503));
+        expect_that!(response.text(), contains_substring("not-run"));
+        let after: f64 = response.header("retry-after").parse().unwrap();
         expect_that!(after, ge(6.0));
     }
-    // Callers that were told at once asked as often as they meant to.
-    expect_that!(asked.len(), ge(90));
+    // Callers that are rejected at once keep to their sending interval.
+    expect_that!(responses.len(), ge(90));
 }
 
-/// A stand-in process, ended with the test.
-struct StandIn(Child);
+/// A fake backend server process, killed when dropped.
+struct FakeServer(Child);
 
-impl Drop for StandIn {
+impl Drop for FakeServer {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// Whoever tries what is described here finds that the stand-in does not play it.
+/// Guards against fake backend servers that cannot reproduce limits and backoff.
 #[googletest::test]
-fn a_stand_in_names_a_limit_and_rests_as_it_is_told() {
+fn a_fake_backend_server_sets_a_limit_and_backoff_on_command() {
     let fleet = Fleet::start(48);
-    let free = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = free.local_addr().unwrap().to_string();
-    drop(free);
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap().to_string();
+    drop(listener);
     let control = fleet.control(1).to_string();
     let mut command = Command::new(env!("CARGO_BIN_EXE_buckthornnotch"));
-    let words = "fake --kind plain --name stand-in --service plain";
-    command.args(words.split(' '));
-    command.args(["--listen", &at, "--control", &control]);
-    let _stand_in = StandIn(command.stdout(Stdio::null()).spawn().unwrap());
-    let order = |order: &str, body: &str| {
-        let done = ureq::post(format!("http://{at}/fake/{order}")).send(body);
-        expect_true!(done.is_ok(), "{order}");
+    let args = "fake --kind plain --name stand-in --service plain";
+    command.args(args.split(' '));
+    command.args(["--listen", &address, "--control", &control]);
+    let _fake_server = FakeServer(command.stdout(Stdio::null()).spawn().unwrap());
+    let post = |path: &str, body: &str| {
+        let response = ureq::post(format!("http://{address}/fake/{path}")).send(body);
+        expect_true!(response.is_ok(), "{path}");
     };
-    let served = |f: &Fleet| f.ask(4, "GET", "/look/1", "4-served").status() == 200;
-    fleet.wait("stand-in", served);
+    let is_served = |f: &Fleet| f.send(4, "GET", "/look/1", "4-served").status() == 200;
+    fleet.wait("fake backend server", is_served);
 
-    order("limit", "0.05");
+    post("limit", "0.05");
     fleet.wait("limit", |f| {
-        f.ask(4, "GET", "/look/1", "4-limit");
-        shown_limits(f)["backend_servers"][0]["limit"].as_f64() == Some(0.05)
+        f.send(4, "GET", "/look/1", "4-limit");
+        read_limits(f)["backend_servers"][0]["limit"].as_f64() == Some(0.05)
     });
-    let limited = fleet.ask(4, "GET", "/look/1", "4-limited");
-    order("limit", "");
-    order("rest", "2");
-    // Only a few requests are sent while it has named a limit; the other gateway has its own.
+    let limited = fleet.send(4, "GET", "/look/1", "4-limited");
+    post("limit", "");
+    post("rest", "2");
+    // Few requests are sent while a limit is set; the other gateway has its own share.
     fleet.wait("rest", |f| {
-        f.ask(5, "GET", "/look/1", "5-rest");
-        f.ask(4, "GET", "/look/1", "4-rest");
+        f.send(5, "GET", "/look/1", "5-rest");
+        f.send(4, "GET", "/look/1", "4-rest");
         !f.last_line("g4", "backend_server_asked")
             .contains("\"rest_ms\":null")
             || !f
@@ -364,32 +369,40 @@
     );
 }
 
-/// A slip of a backend server takes it out of service, or the milder of two words holds.
+/// Guards against malformed headers that take a backend server out of service, and against the
+/// weaker of two values taking effect.
 #[googletest::test]
-fn what_cannot_be_read_counts_as_not_said_and_of_two_words_the_stricter_holds() {
+fn malformed_headers_are_ignored_and_the_stricter_of_two_values_holds() {
     let fleet = Fleet::start(49);
-    let says = |id: &str, more: &'static str| Asker::start(id, |_| ("200 OK", more.into()));
-    let garbage = "server-limit: -1\r\nserver-leaving: perhaps\r\nretry-after: 100\r\n";
-    let garbled = says("garbled", garbage);
-    let double = says("double", "server-limit: 50\r\nserver-limit: 0.05\r\n");
-    fleet.announce(&garbled.backend, "engines", "ready", 1);
-    fleet.announce(&double.backend, "plain", "ready", 1);
-    let ask = |path, method| {
-        let gap = Duration::from_millis(20);
-        ask_all(&fleet, &[4], (method, path), gap, Duration::from_secs(1))
+    let start =
+        |id: &str, headers: &'static str| Recorder::start(id, |_| ("200 OK", headers.into()));
+    let malformed = "server-limit: -1\r\nserver-leaving: perhaps\r\nretry-after: 100\r\n";
+    let invalid = start("garbled", malformed);
+    let duplicate = start("double", "server-limit: 50\r\nserver-limit: 0.05\r\n");
+    fleet.announce(&invalid.backend, "engines", "ready", 1);
+    fleet.announce(&duplicate.backend, "plain", "ready", 1);
+    let send = |path, method| {
+        let interval = Duration::from_millis(20);
+        send_all(
+            &fleet,
+            &[4],
+            (method, path),
+            interval,
+            Duration::from_secs(1),
+        )
     };
 
-    let drafts = ask("/draft/1", "POST");
+    let drafts = send("/draft/1", "POST");
     let line = fleet.last_line("g4", "backend_server_asked");
-    ask("/look/1", "GET");
+    send("/look/1", "GET");
 
-    let served = drafts.iter().filter(|a| a.answer.status() == 200).count();
+    let served = drafts.iter().filter(|r| r.response.status() == 200).count();
     expect_that!(served, eq(drafts.len()));
     expect_that!(line, contains_substring("\"unread\":true"));
     expect_that!(line, contains_substring("\"rest_ms\":null"));
     expect_that!(
-        shown_limits(&fleet)["backend_servers"][0]["limit"].as_f64(),
+        read_limits(&fleet)["backend_servers"][0]["limit"].as_f64(),
         some(eq(0.05))
     );
-    expect_that!(double.arrivals().len(), le(3));
+    expect_that!(duplicate.arrivals().len(), le(3));
 }
--- a/crates/cli/tests/fatal.rs
+++ b/crates/cli/tests/fatal.rs
@@ -1,13 +1,13 @@
-//! Requests that end the backend servers that run them, over separate processes.
+//! Requests that terminate the backend servers that run them, in separate processes.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
-// The other tests of a fleet use the rest of it.
+// Other test targets use the rest of this module.
 #[allow(dead_code)]
 mod fleet;
 
-use fleet::mortal::{self, FATAL, Record};
-use fleet::{Fleet, Message, call, request};
+use fleet::crashing::{self, FATAL, Record};
+use fleet::{Fleet, Message, call, request_head};
 use googletest::prelude::*;
 use std::net::SocketAddr;
 use std::process::Command;
@@ -15,106 +15,113 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time after the third end within which all gateways must know, and tries allowed after it: the
-/// users' bound.
+/// Time after the third termination within which all gateways must know the cause, and attempts
+/// allowed after that time: the bound that users require.
 const KNOWN_WITHIN: Duration = Duration::from_secs(3);
-const TRIES_AFTER: usize = 3;
-/// Ends under a request after which it counts as the cause.
-const ENDS: usize = 3;
+const ATTEMPTS_AFTER: usize = 3;
+/// Number of terminations under a request after which it is taken for their cause.
+const TERMINATIONS: usize = 3;
 
-/// It is sent no more. A suspect that waits for its try is told when to come back.
-fn refused(answer: &Message) -> bool {
-    let said = answer.text().contains("ended under this request");
-    said && answer.header("retry-after").is_empty()
+/// Whether the request is not sent any more. A suspect that awaits its trial has a retry time.
+fn refused(response: &Message) -> bool {
+    let is_message = response.text().contains("ended under this request");
+    is_message && response.header("retry-after").is_empty()
 }
 
-/// Requests sent to all of `gateways` at once, every `gap` for `time`; the answers with the time
-/// of their request, and whether each was whole.
-fn ask_all(
+/// Sends requests to all `gateways` concurrently, to each every `interval` for `duration`; returns
+/// the responses with the times at which their requests were sent.
+fn send_all(
     gateways: &[SocketAddr],
     body: &'static str,
-    gap: Duration,
-    time: Duration,
+    interval: Duration,
+    duration: Duration,
 ) -> Vec<(Instant, Message)> {
-    let until = Instant::now() + time;
-    let ask = |at: SocketAddr| {
+    let deadline = Instant::now() + duration;
+    let start_caller = |at: SocketAddr| {
         thread::spawn(move || {
-            let mut answers = Vec::new();
+            let mut responses = Vec::new();
             for n in 0.. {
-                let asked = Instant::now();
-                if asked >= until {
+                let sent_at = Instant::now();
+                if sent_at >= deadline {
                     break;
                 }
-                let head = request("POST", "/draft/1", &format!("{at}-{body}-{n}"), "key-1");
-                answers.push((asked, call(at, &head, body).unwrap_or_default()));
-                thread::sleep(gap.saturating_sub(asked.elapsed()));
+                let head = request_head("POST", "/draft/1", &format!("{at}-{body}-{n}"), "key-1");
+                responses.push((sent_at, call(at, &head, body).unwrap_or_default()));
+                thread::sleep(interval.saturating_sub(sent_at.elapsed()));
             }
-            answers
+            responses
         })
     };
-    let asking: Vec<_> = gateways.iter().map(|at| ask(*at)).collect();
-    asking.into_iter().flat_map(|a| a.join().unwrap()).collect()
+    let tasks: Vec<_> = gateways.iter().map(|at| start_caller(*at)).collect();
+    tasks.into_iter().flat_map(|t| t.join().unwrap()).collect()
 }
 
-/// Symptom: backend servers end one after the other, for as long as a caller goes on asking.
-/// Sequence: a request ends the backend server that runs it; the same one, from the same caller, comes
-/// again at other gateways, at several at once, and ends the next ones, which come back meanwhile.
-/// Cause: nobody remembered which requests ran where a backend server ended.
-/// Evidence: at each end of a day with 17, the request in question was one that had brought no event
-/// yet, and its caller had been there before.
+/// Guards against backend servers that terminate one after the other for as long as a caller
+/// retries: a request terminates the backend server that runs it; the same caller sends it again
+/// through other gateways, several at once, and it terminates the next ones, which restart
+/// meanwhile. No process recorded which requests were running where a backend server terminated. On
+/// a day with 17 terminations, the request behind each had produced no event yet, and its caller
+/// had been seen before.
 #[googletest::test]
-fn a_request_that_ends_backend_servers_is_known_to_all_gateways() {
+fn a_request_that_terminates_backend_servers_is_known_to_all_gateways() {
     let mut fleet = Fleet::start(38);
     fleet.run_gateway(6);
     fleet.wait("third gateway", |f| f.ready(6));
     let gateways: Vec<SocketAddr> = (4..=6).map(|n| fleet.callers(n)).collect();
     let record: Arc<Mutex<Record>> = Arc::default();
     for name in ["a", "b", "c", "d", "e", "f"] {
-        mortal::run(name, "engines", fleet.control(2), &record);
+        crashing::run(name, "engines", fleet.control(2), &record);
     }
     fleet.wait("backend servers", |f| {
-        (4..=6).all(|n| f.ask(n, "POST", "/draft/1", "first").whole)
+        (4..=6).all(|n| f.send(n, "POST", "/draft/1", "first").complete)
     });
 
-    let time = Duration::from_secs(14);
-    let others = gateways.clone();
-    let ordinary =
-        thread::spawn(move || ask_all(&others, "ordinary", Duration::from_millis(50), time));
-    ask_all(&gateways, FATAL, Duration::from_millis(700), time);
+    let duration = Duration::from_secs(14);
+    let addresses = gateways.clone();
+    let ordinary = thread::spawn(move || {
+        send_all(&addresses, "ordinary", Duration::from_millis(50), duration)
+    });
+    send_all(&gateways, FATAL, Duration::from_millis(700), duration);
     let ordinary = ordinary.join().unwrap();
 
     let record = record.lock().unwrap();
-    expect_that!(record.ends.len(), ge(ENDS), "the request ends nobody");
-    let known = record.ends[ENDS - 1] + KNOWN_WITHIN;
-    let late = record.arrivals.iter().filter(|a| **a > known).count();
-    expect_that!(late, le(TRIES_AFTER), "{} ended", record.ends.len());
-    // Once it is known, and all backend servers are back, the others are served as ever.
-    let calm = known + Duration::from_secs(2);
-    let served = ordinary.iter().filter(|(at, _)| *at > calm);
-    let (whole, cut): (Vec<_>, Vec<_>) = served.partition(|(_, m)| m.status() == 200 && m.whole);
-    expect_that!(whole.len(), gt(100));
-    expect_that!(cut.len(), eq(0));
+    expect_that!(record.terminations.len(), ge(TERMINATIONS), "too few");
+    let known_by = record.terminations[TERMINATIONS - 1] + KNOWN_WITHIN;
+    let late = record.arrivals.iter().filter(|a| **a > known_by).count();
+    expect_that!(
+        late,
+        le(ATTEMPTS_AFTER),
+        "{} terminated",
+        record.terminations.len()
+    );
+    // Once the cause is known and all backend servers have restarted, others are served as usual.
+    let recovered_at = known_by + Duration::from_secs(2);
+    let served = ordinary.iter().filter(|(at, _)| *at > recovered_at);
+    let (complete, failed): (Vec<_>, Vec<_>) =
+        served.partition(|(_, m)| m.status() == 200 && m.complete);
+    expect_that!(complete.len(), gt(100));
+    expect_that!(failed.len(), eq(0));
 }
 
-/// Symptom: after a common restart backend servers end again under a request that was refused before.
-/// Sequence: it is refused; all coordinators and gateways are killed and start again; it comes once more at
-/// each gateway. Cause: only memory knew of it.
+/// Guards against backend servers that terminate again under a refused request after a restart: all
+/// coordinators and gateways are killed and start again, and the request is sent to each gateway
+/// once more. The refusal was kept only in memory.
 #[googletest::test]
 fn a_refused_request_is_refused_after_all_processes_were_killed() {
     let mut fleet = Fleet::start(39);
     let record: Arc<Mutex<Record>> = Arc::default();
     for name in ["a", "b", "c", "d"] {
-        mortal::run(name, "engines", fleet.control(2), &record);
+        crashing::run(name, "engines", fleet.control(2), &record);
     }
     fleet.wait("backend servers", |f| {
-        (4..=5).all(|n| f.ask(n, "POST", "/draft/1", "first").whole)
+        (4..=5).all(|n| f.send(n, "POST", "/draft/1", "first").complete)
     });
-    let fatal = |f: &Fleet, n: u8| {
-        let head = request("POST", "/draft/1", "fatal-1", "key-1");
+    let send_fatal = |f: &Fleet, n: u8| {
+        let head = request_head("POST", "/draft/1", "fatal-1", "key-1");
         call(f.callers(n), &head, FATAL).unwrap_or_default()
     };
-    fleet.wait("refusal", |f| (4..=5).all(|n| refused(&fatal(f, n))));
-    let known = record.lock().unwrap().arrivals.len();
+    fleet.wait("refusal", |f| (4..=5).all(|n| refused(&send_fatal(f, n))));
+    let arrivals = record.lock().unwrap().arrivals.len();
 
     for id in ["g4", "g5", "c1", "c2", "c3"] {
         fleet.kill(id);
@@ -126,58 +133,58 @@
         fleet.run_gateway(n);
     }
     fleet.wait("gateways", |f| {
-        (4..=5).all(|n| f.ask(n, "POST", "/draft/1", "again").whole)
+        (4..=5).all(|n| f.send(n, "POST", "/draft/1", "again").complete)
     });
-    let answers: Vec<Message> = (4..=5).map(|n| fatal(&fleet, n)).collect();
+    let responses: Vec<Message> = (4..=5).map(|n| send_fatal(&fleet, n)).collect();
 
-    for answer in &answers {
-        expect_that!(answer.status(), eq(503));
-        expect_true!(refused(answer));
-        // Nothing says that coming back would help.
-        expect_that!(answer.header("retry-after"), eq(""));
+    for response in &responses {
+        expect_that!(response.status(), eq(503));
+        expect_true!(refused(response));
+        // No header suggests that a retry would help.
+        expect_that!(response.header("retry-after"), eq(""));
     }
-    expect_that!(record.lock().unwrap().arrivals.len(), eq(known));
+    expect_that!(record.lock().unwrap().arrivals.len(), eq(arrivals));
 }
 
-/// An operator vouches for a request: it is tried again, and its backend servers end.
+/// An operator pardons a request: it is tried again, and terminates its backend servers.
 #[googletest::test]
-fn operators_see_and_pardon_what_is_refused_and_explain_tells_why() {
+fn operators_list_and_pardon_refused_requests_and_explain_shows_the_reason() {
     let fleet = Fleet::start(40);
     let record: Arc<Mutex<Record>> = Arc::default();
     for name in ["a", "b", "c", "d"] {
-        mortal::run(name, "engines", fleet.control(2), &record);
+        crashing::run(name, "engines", fleet.control(2), &record);
     }
     fleet.wait("backend servers", |f| {
-        (4..=5).all(|n| f.ask(n, "POST", "/draft/1", "first").whole)
+        (4..=5).all(|n| f.send(n, "POST", "/draft/1", "first").complete)
     });
-    let fatal = |f: &Fleet, id: &str| {
-        let head = request("POST", "/draft/1", id, "key-1");
+    let send_fatal = |f: &Fleet, id: &str| {
+        let head = request_head("POST", "/draft/1", id, "key-1");
         call(f.callers(4), &head, FATAL).unwrap_or_default()
     };
-    fleet.wait("refusal", |f| refused(&fatal(f, "fatal-1")));
-    let known = record.lock().unwrap().ends.len();
+    fleet.wait("refusal", |f| refused(&send_fatal(f, "fatal-1")));
+    let terminations = record.lock().unwrap().terminations.len();
     let command = |args: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_buckthornnotch"));
         let output = command.args(args).output().expect("command");
         String::from_utf8_lossy(&output.stdout).into_owned()
     };
-    let page = fleet.operators(1).to_string();
+    let address = fleet.operators(1).to_string();
 
-    let shown = command(&["quarantine", "--at", &page]);
-    let rows: serde_json::Value = serde_json::from_str(&shown).unwrap();
+    let output = command(&["quarantine", "--at", &address]);
+    let rows: serde_json::Value = serde_json::from_str(&output).unwrap();
     let row = &rows["requests"][0];
     let digest = row["digest"].as_str().unwrap_or_default();
-    let pardoned = command(&["quarantine", "--at", &page, "--pardon", digest]);
-    fleet.wait("try after the pardon", |f| {
-        fatal(f, "fatal-2");
-        record.lock().unwrap().ends.len() > known
+    let pardoned = command(&["quarantine", "--at", &address, "--pardon", digest]);
+    fleet.wait("attempt after the pardon", |f| {
+        send_fatal(f, "fatal-2");
+        record.lock().unwrap().terminations.len() > terminations
     });
     let logs: Vec<String> = ["g4", "g5", "c1", "c2", "c3"]
-        .map(|id| fleet.log(id).display().to_string())
+        .map(|id| fleet.log_path(id).display().to_string())
         .into();
     let mut args = vec!["explain", "fatal-1"];
     args.extend(logs.iter().map(String::as_str));
-    let story = command(&args);
+    let text = command(&args);
 
     expect_that!(row["standing"].as_str(), some(eq("Refused")));
     expect_that!(row["ended"].as_array().map(Vec::len), some(ge(3)));
@@ -188,6 +195,6 @@
         "request_case",
         "quarantined",
     ] {
-        expect_true!(story.contains(event), "{event} is missing in:\n{story}");
+        expect_true!(text.contains(event), "{event} is missing in:\n{text}");
     }
 }
--- a/crates/cli/tests/fleet/message.rs
+++ b/crates/cli/tests/fleet/message.rs
@@ -1,25 +1,25 @@
-//! Requests and answers as they stand on the wire.
+//! HTTP requests and responses, read from and written to a connection.
 
-use super::WITHIN;
+use super::TIMEOUT;
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// A request as a backend server got it, or an answer as a caller got it.
+/// A request that a backend server received, or a response that a caller received.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Message {
     /// Request line or status line.
-    pub(crate) first: String,
-    /// Names in lower case.
+    pub(crate) start_line: String,
+    /// Header names are in lower case.
     pub(crate) headers: HashMap<String, String>,
     pub(crate) body: Vec<u8>,
-    /// The framing says that it is complete.
-    pub(crate) whole: bool,
+    /// Whether the message is complete according to its framing.
+    pub(crate) complete: bool,
 }
 
 impl Message {
     pub(crate) fn status(&self) -> u16 {
-        let word = self.first.split(' ').nth(1);
+        let word = self.start_line.split(' ').nth(1);
         word.and_then(|w| w.parse().ok()).unwrap_or(0)
     }
 
@@ -32,14 +32,14 @@
     }
 }
 
-/// Reads a message; none where the connection ends before one begins.
-pub(super) fn read_message(reader: &mut impl BufRead, request: bool) -> Option<Message> {
+/// Reads a message; `None` if the connection closes before its first byte.
+pub(super) fn read_message(reader: &mut impl BufRead, is_request: bool) -> Option<Message> {
     let mut message = Message::default();
-    reader.read_line(&mut message.first).ok()?;
-    if message.first.is_empty() {
+    reader.read_line(&mut message.start_line).ok()?;
+    if message.start_line.is_empty() {
         return None;
     }
-    message.first = message.first.trim().into();
+    message.start_line = message.start_line.trim().into();
     loop {
         let mut line = String::new();
         reader.read_line(&mut line).ok()?;
@@ -51,12 +51,12 @@
     }
     let length = message.header("content-length").parse::<usize>().ok();
     if message.header("transfer-encoding") == "chunked" {
-        message.whole = read_chunks(reader, &mut message.body);
+        message.complete = read_chunks(reader, &mut message.body);
     } else if let Some(length) = length {
-        let taken = reader.take(length as u64).read_to_end(&mut message.body);
-        message.whole = taken.is_ok_and(|n| n == length);
+        let read = reader.take(length as u64).read_to_end(&mut message.body);
+        message.complete = read.is_ok_and(|n| n == length);
     } else {
-        message.whole = request || reader.read_to_end(&mut message.body).is_ok();
+        message.complete = is_request || reader.read_to_end(&mut message.body).is_ok();
     }
     Some(message)
 }
@@ -80,18 +80,18 @@
     }
 }
 
-/// One call on a connection of its own.
-pub(crate) fn call(at: SocketAddr, head: &str, body: &str) -> Option<Message> {
-    let mut stream = TcpStream::connect(at).ok()?;
-    stream.set_read_timeout(Some(WITHIN)).ok()?;
+/// Sends one request on its own connection and reads the response.
+pub(crate) fn call(address: SocketAddr, head: &str, body: &str) -> Option<Message> {
+    let mut stream = TcpStream::connect(address).ok()?;
+    stream.set_read_timeout(Some(TIMEOUT)).ok()?;
     let length = body.len();
     let text = format!("{head}\r\ncontent-length: {length}\r\nconnection: close\r\n\r\n{body}");
     stream.write_all(text.as_bytes()).ok()?;
     read_message(&mut BufReader::new(stream), false)
 }
 
-/// The head of a caller's request.
-pub(crate) fn request(method: &str, path: &str, id: &str, key: &str) -> String {
+/// The request line and headers of a caller's request, without the final line break.
+pub(crate) fn request_head(method: &str, path: &str, id: &str, key: &str) -> String {
     let (attempt, deadline) = (bn_platform::header::ATTEMPT, bn_platform::header::DEADLINE);
     format!(
         "{method} {path} HTTP/1.1\r\nhost: front.example\r\n{attempt}: {id}\r\n\
--- a/crates/cli/tests/fleet/mod.rs
+++ b/crates/cli/tests/fleet/mod.rs
@@ -1,16 +1,16 @@
-//! Coordinators, gateways and scripted backend servers on this machine, as separate
-//! processes on loopback.
+//! Coordinators and gateways as separate processes on loopback addresses, with scripted backend
+//! servers in the test process.
 
-// Each test program uses a part of these.
+// Each test target uses only some of these modules.
 #[allow(dead_code)]
-pub(crate) mod asking;
+pub(crate) mod crashing;
 mod message;
 #[allow(dead_code)]
-pub(crate) mod mortal;
+pub(crate) mod recording;
 #[allow(dead_code)]
 pub(crate) mod scripts;
 
-pub(crate) use message::{Message, call, request};
+pub(crate) use message::{Message, call, request_head};
 
 use message::read_message;
 use std::collections::HashMap;
@@ -23,27 +23,27 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-const WITHIN: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The example document, with its split route sent to one service alone.
+/// The example document, with all traffic of its weighted route sent to one service.
 pub(crate) fn document() -> String {
     let text = include_str!("../../../../platform/tests/document.json");
     text.replace("\"weight\": 10", "\"weight\": 0")
 }
 
-/// What a backend server does with a request: writes what it likes, then the connection
-/// closes where it returns `false`.
+/// How a backend server handles a request: it may write to the stream, and returns `false` to close
+/// the connection.
 #[allow(dead_code)]
 pub(crate) type Script = fn(&Message, &mut TcpStream) -> bool;
-/// The same with what it remembers.
-type AnyScript = dyn Fn(&Message, &mut TcpStream) -> bool + Send + Sync;
+/// A `Script` that may capture state.
+type DynScript = dyn Fn(&Message, &mut TcpStream) -> bool + Send + Sync;
 
-/// A backend server that records what arrives.
+/// A backend server that records the requests it receives.
 #[derive(Clone)]
 pub(crate) struct Backend {
     pub(crate) id: String,
     pub(crate) address: SocketAddr,
-    pub(crate) seen: Arc<Mutex<Vec<Message>>>,
+    pub(crate) requests: Arc<Mutex<Vec<Message>>>,
 }
 
 impl Backend {
@@ -51,38 +51,38 @@
         id: &str,
         script: impl Fn(&Message, &mut TcpStream) -> bool + Send + Sync + 'static,
     ) -> Backend {
-        let script: Arc<AnyScript> = Arc::new(script);
+        let script: Arc<DynScript> = Arc::new(script);
         let listener = TcpListener::bind("127.0.0.1:0").expect("listen");
         let address = listener.local_addr().expect("address");
-        let seen: Arc<Mutex<Vec<Message>>> = Arc::default();
-        let record = seen.clone();
+        let requests: Arc<Mutex<Vec<Message>>> = Arc::default();
+        let record = requests.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (record, script) = (record.clone(), script.clone());
-                thread::spawn(move || converse(stream, &record, &*script));
+                let (requests, script) = (record.clone(), script.clone());
+                thread::spawn(move || handle_connection(stream, &requests, &*script));
             }
         });
         Backend {
             id: id.into(),
             address,
-            seen,
+            requests,
         }
     }
 
     pub(crate) fn count(&self) -> usize {
-        self.seen.lock().expect("seen").len()
+        self.requests.lock().expect("requests").len()
     }
 }
 
-fn converse(mut stream: TcpStream, record: &Mutex<Vec<Message>>, script: &AnyScript) {
+fn handle_connection(mut stream: TcpStream, requests: &Mutex<Vec<Message>>, script: &DynScript) {
     let Ok(copy) = stream.try_clone() else {
         return;
     };
     let mut reader = BufReader::new(copy);
     while let Some(request) = read_message(&mut reader, true) {
-        // The coordinators ask engines for reports; only callers' requests count here.
+        // Coordinators poll engines for reports; only callers' requests are recorded.
         if request.headers.contains_key(bn_platform::header::ATTEMPT) {
-            record.lock().expect("seen").push(request.clone());
+            requests.lock().expect("requests").push(request.clone());
         }
         if !script(&request, &mut stream) {
             return;
@@ -90,11 +90,11 @@
     }
 }
 
-/// A running system. Its processes end with it.
+/// A running system. Its processes are killed when it is dropped.
 pub(crate) struct Fleet {
-    folder: TempDir,
+    dir: TempDir,
     children: HashMap<String, Child>,
-    ports: u16,
+    base_port: u16,
 }
 
 impl Drop for Fleet {
@@ -107,21 +107,21 @@
 }
 
 impl Fleet {
-    /// Three coordinators and two gateways, ready, with the example document settled.
-    /// `octet` keeps the loopback addresses of tests that run at once apart.
+    /// Starts three coordinators and two gateways, commits the example document and waits until the
+    /// gateways are ready. `octet` keeps the ports of concurrent tests apart.
     pub(crate) fn start(octet: u8) -> Fleet {
-        let fleet = Fleet::unsettled(octet);
-        fleet.settle(&document());
+        let fleet = Fleet::start_unconfigured(octet);
+        fleet.commit_document(&document());
         fleet.wait("gateways", |f| (4..=5).all(|n| f.ready(n)));
         fleet
     }
 
-    /// The same before any document is settled.
-    pub(crate) fn unsettled(octet: u8) -> Fleet {
+    /// Starts the same processes without committing a document.
+    pub(crate) fn start_unconfigured(octet: u8) -> Fleet {
         let mut fleet = Fleet {
-            folder: TempDir::new().expect("folder"),
+            dir: TempDir::new().expect("temporary directory"),
             children: HashMap::new(),
-            ports: 20_000 + u16::from(octet) * 16,
+            base_port: 20_000 + u16::from(octet) * 16,
         };
         for n in 1..=3 {
             fleet.run_coordinator(n, true);
@@ -129,28 +129,28 @@
         for n in 4..=5 {
             fleet.run_gateway(n);
         }
-        let listens = |f: &Fleet, n| f.read_document(n).is_some();
-        fleet.wait("coordinators", |f| (1..=3).all(|n| listens(f, n)));
+        let responds = |f: &Fleet, n| f.read_document(n).is_some();
+        fleet.wait("coordinators", |f| (1..=3).all(|n| responds(f, n)));
         fleet
     }
 
-    /// Instances differ in their loopback address and share their ports.
-    fn at(&self, n: u8, port: u16) -> SocketAddr {
-        SocketAddr::from(([127, 77, 0, n], self.ports + port))
+    /// Each instance has its own loopback address; all use the same ports.
+    fn addr(&self, n: u8, offset: u16) -> SocketAddr {
+        SocketAddr::from(([127, 77, 0, n], self.base_port + offset))
     }
 
     fn seeds(&self) -> Vec<String> {
-        (1..=3).map(|n| self.at(n, 2).to_string()).collect()
+        (1..=3).map(|n| self.addr(n, 2).to_string()).collect()
     }
 
-    pub(crate) fn run_coordinator(&mut self, n: u8, first: bool) {
-        let data = self.folder.path().join(format!("data{n}"));
+    pub(crate) fn run_coordinator(&mut self, n: u8, first_start: bool) {
+        let data = self.dir.path().join(format!("data{n}"));
         let settings = serde_json::json!({
-            "id": format!("c{n}"), "domain": "d1", "inbox": self.at(n, 0).to_string(),
-            "operators": self.at(n, 1).to_string(), "log": { "level": "info", "json": true },
+            "id": format!("c{n}"), "domain": "d1", "inbox": self.addr(n, 0).to_string(),
+            "operators": self.addr(n, 1).to_string(), "log": { "level": "info", "json": true },
             "coordinator": {
-                "control": self.at(n, 2).to_string(), "directory": self.at(n, 3).to_string(),
-                "seeds": self.seeds(), "first": first, "data": data, "losses": 1,
+                "control": self.addr(n, 2).to_string(), "directory": self.addr(n, 3).to_string(),
+                "seeds": self.seeds(), "first": first_start, "data": data, "losses": 1,
             },
         });
         self.run(&format!("c{n}"), &settings);
@@ -158,11 +158,11 @@
 
     pub(crate) fn run_gateway(&mut self, n: u8) {
         let settings = serde_json::json!({
-            "id": format!("g{n}"), "domain": "d1", "inbox": self.at(n, 0).to_string(),
-            "operators": self.at(n, 1).to_string(), "log": { "level": "info", "json": true },
+            "id": format!("g{n}"), "domain": "d1", "inbox": self.addr(n, 0).to_string(),
+            "operators": self.addr(n, 1).to_string(), "log": { "level": "info", "json": true },
             "gateway": {
-                "callers": self.at(n, 4).to_string(), "readiness": self.at(n, 5).to_string(),
-                "directory": self.at(n, 6).to_string(),
+                "callers": self.addr(n, 4).to_string(), "readiness": self.addr(n, 5).to_string(),
+                "directory": self.addr(n, 6).to_string(),
                 "seeds": self.seeds(), "grace_s": 4, "retry_ratio": 0.2, "retry_slack": 200,
                 "retry_window_s": 10,
             },
@@ -171,16 +171,16 @@
     }
 
     fn run(&mut self, id: &str, settings: &serde_json::Value) {
-        let file = self.folder.path().join(format!("{id}.json"));
-        std::fs::write(&file, settings.to_string()).expect("settings");
+        let path = self.dir.path().join(format!("{id}.json"));
+        std::fs::write(&path, settings.to_string()).expect("settings");
         let log = std::fs::File::options()
             .create(true)
             .append(true)
-            .open(self.log(id))
+            .open(self.log_path(id))
             .expect("log");
         let child = Command::new(env!("CARGO_BIN_EXE_buckthornnotch"))
             .args(["run", "--settings"])
-            .arg(&file)
+            .arg(&path)
             .stdin(Stdio::null())
             .stdout(log)
             .stderr(Stdio::null())
@@ -189,16 +189,16 @@
         self.children.insert(id.into(), child);
     }
 
-    pub(crate) fn log(&self, id: &str) -> std::path::PathBuf {
-        self.folder.path().join(format!("{id}.log"))
+    pub(crate) fn log_path(&self, id: &str) -> std::path::PathBuf {
+        self.dir.path().join(format!("{id}.log"))
     }
 
-    /// The last line that a process wrote of an event.
+    /// The last log line of a process with this event.
     #[allow(dead_code)]
     pub(crate) fn last_line(&self, id: &str, event: &str) -> String {
-        let text = std::fs::read_to_string(self.log(id)).unwrap_or_default();
-        let named = format!("\"event\":\"{event}\"");
-        let line = text.lines().rev().find(|l| l.contains(&named));
+        let text = std::fs::read_to_string(self.log_path(id)).unwrap_or_default();
+        let pattern = format!("\"event\":\"{event}\"");
+        let line = text.lines().rev().find(|l| l.contains(&pattern));
         line.unwrap_or_default().to_string()
     }
 
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Asks a process to stop; it ends by itself.
+    /// Sends SIGTERM to a process without waiting for its exit.
     pub(crate) fn terminate(&mut self, id: &str) -> Option<Child> {
         let child = self.children.remove(id)?;
         let pid = nix::unistd::Pid::from_raw(child.id() as i32);
@@ -217,86 +217,89 @@
         Some(child)
     }
 
-    pub(crate) fn empty_disk(&self, n: u8) {
-        let _ = std::fs::remove_dir_all(self.folder.path().join(format!("data{n}")));
+    pub(crate) fn delete_data(&self, n: u8) {
+        let _ = std::fs::remove_dir_all(self.dir.path().join(format!("data{n}")));
     }
 
-    pub(crate) fn wait(&self, what: &str, reached: impl Fn(&Fleet) -> bool) {
-        let until = Instant::now() + WITHIN;
-        while !reached(self) {
-            assert!(Instant::now() < until, "{what}: not within {WITHIN:?}");
+    pub(crate) fn wait(&self, what: &str, condition: impl Fn(&Fleet) -> bool) {
+        let deadline = Instant::now() + TIMEOUT;
+        while !condition(self) {
+            assert!(
+                Instant::now() < deadline,
+                "{what}: not reached within {TIMEOUT:?}"
+            );
             thread::sleep(Duration::from_millis(30));
         }
     }
 
     pub(crate) fn ready(&self, n: u8) -> bool {
-        self.readiness(n) == Some(200)
+        self.readiness_status(n) == Some(200)
     }
 
-    /// A gateway answers, ready or not.
+    /// Whether a gateway responds to readiness checks, ready or not.
     #[allow(dead_code)]
     pub(crate) fn is_up(&self, n: u8) -> bool {
-        self.readiness(n).is_some()
+        self.readiness_status(n).is_some()
     }
 
-    fn readiness(&self, n: u8) -> Option<u16> {
+    fn readiness_status(&self, n: u8) -> Option<u16> {
         let head = format!("GET {} HTTP/1.1\r\nhost: x", PATHS.ready);
-        call(self.at(n, 5), &head, "").map(|m| m.status())
+        call(self.addr(n, 5), &head, "").map(|m| m.status())
     }
 
-    /// Sends a document until some coordinator takes it, as operators do.
-    pub(crate) fn settle(&self, document: &str) {
+    /// Sends a document to the coordinators in turn until one accepts it, as operators do.
+    pub(crate) fn commit_document(&self, document: &str) {
         let put = |n| self.put_document(n, document) == 200;
         self.wait("document", |_| (1..=3).any(put));
     }
 
     pub(crate) fn put_document(&self, n: u8, document: &str) -> u16 {
         let head = format!("PUT {} HTTP/1.1\r\nhost: x", PATHS.document);
-        call(self.at(n, 2), &head, document).map_or(0, |m| m.status())
+        call(self.addr(n, 2), &head, document).map_or(0, |m| m.status())
     }
 
     pub(crate) fn read_document(&self, n: u8) -> Option<Message> {
         let head = format!("GET {} HTTP/1.1\r\nhost: x", PATHS.document);
-        call(self.at(n, 2), &head, "")
+        call(self.addr(n, 2), &head, "")
     }
 
-    /// What a coordinator, or a gateway, tells callers that ask where to connect.
+    /// The directory response of a coordinator or gateway: the addresses for callers.
     pub(crate) fn addresses(&self, n: u8) -> String {
         let head = format!("GET {}?name=x HTTP/1.1\r\nhost: x", PATHS.resolve);
         let port = if n <= 3 { 3 } else { 6 };
-        call(self.at(n, port), &head, "").map_or(String::new(), |m| m.text())
+        call(self.addr(n, port), &head, "").map_or(String::new(), |m| m.text())
     }
 
-    /// Where a process shows its metrics and pages.
+    /// The address of a process for metrics and operator pages.
     #[allow(dead_code)]
     pub(crate) fn operators(&self, n: u8) -> SocketAddr {
-        self.at(n, 1)
+        self.addr(n, 1)
     }
 
-    /// Where a coordinator takes documents and announcements.
+    /// The address of a coordinator for documents and announcements.
     #[allow(dead_code)]
     pub(crate) fn control(&self, n: u8) -> SocketAddr {
-        self.at(n, 2)
+        self.addr(n, 2)
     }
 
     pub(crate) fn inbox(&self, n: u8) -> SocketAddr {
-        self.at(n, 0)
+        self.addr(n, 0)
     }
 
     pub(crate) fn callers(&self, n: u8) -> SocketAddr {
-        self.at(n, 4)
+        self.addr(n, 4)
     }
 
-    /// Announces a backend server at a coordinator and waits until both gateways know.
+    /// Announces a backend server to a coordinator and waits until both gateways have logged it.
     pub(crate) fn announce(&self, backend: &Backend, service: &str, state: &str, sequence: u64) {
         let head = format!("PUT {}{} HTTP/1.1\r\nhost: x", PATHS.backends, backend.id);
         let body = serde_json::json!({
             "service": service, "address": backend.address, "zone": "d1", "slots": 4,
             "state": state, "sequence": sequence,
         });
-        let taken = call(self.at(2, 2), &head, &body.to_string());
-        assert_eq!(taken.map(|m| m.status()), Some(200));
-        self.knows(
+        let response = call(self.addr(2, 2), &head, &body.to_string());
+        assert_eq!(response.map(|m| m.status()), Some(200));
+        self.wait_logged(
             &backend.id,
             if state == "ready" {
                 "Ready"
@@ -306,43 +309,42 @@
         );
     }
 
-    /// Sends an entry under an id to a coordinator; its status.
-    pub(crate) fn put_entry(&self, n: u8, id: &str, entry: &str) -> u16 {
+    /// Sends an announcement for an id to a coordinator and returns the status.
+    pub(crate) fn put_announcement(&self, n: u8, id: &str, announcement: &str) -> u16 {
         let head = format!("PUT {}{id} HTTP/1.1\r\nhost: x", PATHS.backends);
-        call(self.at(n, 2), &head, entry).map_or(0, |m| m.status())
+        call(self.addr(n, 2), &head, announcement).map_or(0, |m| m.status())
     }
 
-    pub(crate) fn leave(&self, backend: &Backend) {
+    pub(crate) fn deregister(&self, backend: &Backend) {
         let head = format!(
             "DELETE {}{} HTTP/1.1\r\nhost: x",
             PATHS.backends, backend.id
         );
-        let taken = call(self.at(1, 2), &head, "");
-        assert_eq!(taken.map(|m| m.status()), Some(200));
-        self.knows(&backend.id, "Gone");
+        let response = call(self.addr(1, 2), &head, "");
+        assert_eq!(response.map(|m| m.status()), Some(200));
+        self.wait_logged(&backend.id, "Gone");
     }
 
-    fn knows(&self, id: &str, condition: &str) {
-        let told = |log: &Path| {
+    fn wait_logged(&self, id: &str, state: &str) {
+        let logged = |log: &Path| {
             let text = std::fs::read_to_string(log).unwrap_or_default();
-            text.lines()
-                .any(|l| l.contains(id) && l.contains(condition))
+            text.lines().any(|l| l.contains(id) && l.contains(state))
         };
-        self.wait(condition, |f| {
+        self.wait(state, |f| {
             ["g4", "g5"]
                 .iter()
-                .all(|g| !f.children.contains_key(*g) || told(&f.log(g)))
+                .all(|g| !f.children.contains_key(*g) || logged(&f.log_path(g)))
         });
     }
 
-    /// A caller's request with the example account's key.
-    pub(crate) fn ask(&self, n: u8, method: &str, path: &str, id: &str) -> Message {
-        let head = request(method, path, id, "key-1");
+    /// Sends a caller's request with the key of the example client account.
+    pub(crate) fn send(&self, n: u8, method: &str, path: &str, id: &str) -> Message {
+        let head = request_head(method, path, id, "key-1");
         call(self.callers(n), &head, "body").unwrap_or_default()
     }
 }
 
-/// Paths of the calls that arrive at the system, as tests use them.
+/// Paths of the endpoints that tests call.
 struct Paths {
     ready: String,
     document: String,
--- a/crates/cli/tests/fleet/scripts.rs
+++ b/crates/cli/tests/fleet/scripts.rs
@@ -1,4 +1,4 @@
-//! What backend servers of tests do with a request.
+//! Scripted responses of the backend servers in tests.
 
 use super::Message;
 use bn_platform::header::{ATTEMPT, SIGNATURE};
@@ -7,25 +7,25 @@
 use std::thread;
 use std::time::Duration;
 
-pub(crate) fn head(request: &Message, status: &str, more: &str) -> String {
+pub(crate) fn response_head(request: &Message, status: &str, headers: &str) -> String {
     let id = request.header(ATTEMPT);
-    format!("HTTP/1.1 {status}\r\n{ATTEMPT}: {id}\r\n{more}")
+    format!("HTTP/1.1 {status}\r\n{ATTEMPT}: {id}\r\n{headers}")
 }
 
-pub(crate) fn say(stream: &mut TcpStream, text: &str) -> bool {
+pub(crate) fn write_text(stream: &mut TcpStream, text: &str) -> bool {
     stream.write_all(text.as_bytes()).is_ok()
 }
 
-pub(crate) fn good(request: &Message, stream: &mut TcpStream) -> bool {
-    let head = head(
+pub(crate) fn succeed(request: &Message, stream: &mut TcpStream) -> bool {
+    let head = response_head(
         request,
         "200 OK",
         &format!("{SIGNATURE}: s\r\ncontent-length: 5\r\n"),
     );
-    say(stream, &format!("{head}\r\nwhole"))
+    write_text(stream, &format!("{head}\r\nwhole"))
 }
 
-pub(crate) fn slow(request: &Message, stream: &mut TcpStream) -> bool {
+pub(crate) fn succeed_slowly(request: &Message, stream: &mut TcpStream) -> bool {
     thread::sleep(Duration::from_millis(700));
-    good(request, stream)
+    succeed(request, stream)
 }
--- a/crates/cli/tests/stopping.rs
+++ b/crates/cli/tests/stopping.rs
@@ -7,8 +7,8 @@
 mod fleet;
 
 use bn_platform::header::{ATTEMPT, SIGNATURE};
-use fleet::scripts::{head, say, slow};
-use fleet::{Backend, Fleet, Message, request};
+use fleet::scripts::{response_head, succeed_slowly, write_text};
+use fleet::{Backend, Fleet, Message, request_head};
 use googletest::prelude::*;
 use std::io::Read;
 use std::net::TcpStream;
@@ -21,11 +21,11 @@
 #[googletest::test]
 fn a_stopping_gateway_finishes_what_it_has_and_is_named_no_more() {
     let mut fleet = Fleet::start(24);
-    let backend = Backend::start("a", slow);
+    let backend = Backend::start("a", succeed_slowly);
     fleet.announce(&backend, "plain", "ready", 1);
     let at = fleet.callers(4);
     let asked = thread::spawn(move || {
-        fleet::call(at, &request("GET", "/look/1", "id", "key-1"), "").unwrap()
+        fleet::call(at, &request_head("GET", "/look/1", "id", "key-1"), "").unwrap()
     });
     while backend.count() == 0 {
         thread::sleep(Duration::from_millis(5));
@@ -47,7 +47,7 @@
 
     expect_that!(left_after, lt(Duration::from_secs(1)));
     expect_that!(left_everywhere, lt(Duration::from_secs(1)));
-    expect_that!((answer.status(), answer.whole), eq((200, true)));
+    expect_that!((answer.status(), answer.complete), eq((200, true)));
     expect_true!(ended.success());
 }
 
@@ -73,13 +73,13 @@
 fn endless(request: &Message, stream: &mut TcpStream) -> bool {
     let more = format!("{SIGNATURE}: s\r\ncontent-type: text/event-stream\r\n");
     let kind = "transfer-encoding: chunked\r\n";
-    say(
+    write_text(
         stream,
-        &format!("{}{kind}\r\n", head(request, "200 OK", &more)),
+        &format!("{}{kind}\r\n", response_head(request, "200 OK", &more)),
     );
     for n in 1..500 {
         let event = format!("id: {n}\ndata: x\n\n");
-        if !say(stream, &format!("{:x}\r\n{event}\r\n", event.len())) {
+        if !write_text(stream, &format!("{:x}\r\n{event}\r\n", event.len())) {
             break;
         }
         thread::sleep(Duration::from_millis(20));
@@ -105,8 +105,8 @@
     let backend = Backend::start("a", endless);
     fleet.announce(&backend, "engines", "ready", 1);
     let mut caller = TcpStream::connect(fleet.callers(4)).unwrap();
-    let head = request("POST", "/draft/1", "leaves", "key-1");
-    say(&mut caller, &format!("{head}\r\ncontent-length: 0\r\n\r\n"));
+    let head = request_head("POST", "/draft/1", "leaves", "key-1");
+    write_text(&mut caller, &format!("{head}\r\ncontent-length: 0\r\n\r\n"));
     let mut some = [0; 400];
     caller.read_exact(&mut some).unwrap();
 
@@ -126,15 +126,16 @@
     let backend = Backend::start("a", endless);
     fleet.announce(&backend, "engines", "ready", 1);
     let at = fleet.callers(4);
-    let held =
-        thread::spawn(move || fleet::call(at, &request("POST", "/draft/1", "held", "key-1"), ""));
+    let held = thread::spawn(move || {
+        fleet::call(at, &request_head("POST", "/draft/1", "held", "key-1"), "")
+    });
     while backend.count() == 0 {
         thread::sleep(Duration::from_millis(5));
     }
 
     let mut child = fleet.terminate("g4").unwrap();
     thread::sleep(Duration::from_millis(1_800));
-    let late = fleet::call(at, &request("POST", "/draft/1", "late", "key-1"), "");
+    let late = fleet::call(at, &request_head("POST", "/draft/1", "late", "key-1"), "");
     let seen = backend.count();
     child.wait().unwrap();
     held.join().unwrap();
