--- a/crates/cli/tests/asking.rs
+++ b/crates/cli/tests/asking.rs
@@ -1,4 +1,4 @@
-//! Backend servers that request a lower rate, backoff or departure, in separate processes.
+//! Backend servers that limit their request rate, request backoff or leave, in separate processes.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -26,8 +26,8 @@
 const SPAN: Duration = Duration::from_secs(4);
 const ALLOWED: usize = (1.5 * 4.0 * RATE) as usize + 5;
 
-fn start_three_gateways(octet: u8) -> Fleet {
-    let mut fleet = Fleet::start(octet);
+fn start_three_gateways(port_block: u8) -> Fleet {
+    let mut fleet = Fleet::start(port_block);
     fleet.run_gateway(6);
     fleet.wait("third gateway", |f| f.ready(6));
     fleet
@@ -111,15 +111,15 @@
         f.addresses(4).contains(&f.callers(6).to_string())
     });
     let limits = read_limits(&fleet);
-    let before_start = server.arrivals().len();
+    let started_count = server.arrivals().len();
     send_all(&fleet, &[6], look, interval, Duration::from_secs(3));
-    let from_started = server.arrivals().len() - before_start;
+    let from_started = server.arrivals().len() - started_count;
     is_limited.store(false, Ordering::Relaxed);
     // Each of the three gateways sends one request in three seconds.
     send_all(&fleet, &GATEWAYS, look, interval, Duration::from_secs(5));
-    let before_end = server.arrivals().len();
+    let ended_count = server.arrivals().len();
     send_all(&fleet, &GATEWAYS, look, interval, Duration::from_secs(2));
-    let from_all = server.arrivals().len() - before_end;
+    let from_all = server.arrivals().len() - ended_count;
 
     expect_that!(
         limits["backend_servers"][0]["id"].as_str(),
--- a/crates/cli/tests/fleet/mod.rs
+++ b/crates/cli/tests/fleet/mod.rs
@@ -108,20 +108,20 @@
 
 impl Fleet {
     /// Starts three coordinators and two gateways, commits the example document and waits until the
-    /// gateways are ready. `octet` keeps the ports of concurrent tests apart.
-    pub(crate) fn start(octet: u8) -> Fleet {
-        let fleet = Fleet::start_unconfigured(octet);
+    /// gateways are ready. `port_block` keeps the ports of concurrent tests apart.
+    pub(crate) fn start(port_block: u8) -> Fleet {
+        let fleet = Fleet::start_unconfigured(port_block);
         fleet.commit_document(&document());
         fleet.wait("gateways", |f| (4..=5).all(|n| f.ready(n)));
         fleet
     }
 
     /// Starts the same processes without committing a document.
-    pub(crate) fn start_unconfigured(octet: u8) -> Fleet {
+    pub(crate) fn start_unconfigured(port_block: u8) -> Fleet {
         let mut fleet = Fleet {
             dir: TempDir::new().expect("temporary directory"),
             children: HashMap::new(),
-            base_port: 20_000 + u16::from(octet) * 16,
+            base_port: 20_000 + u16::from(port_block) * 16,
         };
         for n in 1..=3 {
             fleet.run_coordinator(n, true);
