--- a/crates/cli/tests/gateway.rs
+++ b/crates/cli/tests/gateway.rs
@@ -7,7 +7,7 @@
 mod fleet;
 
 use bn_platform::header::{
-    ACCOUNT, AT_FAULT, ATTEMPT, EXPECT, LAST_EVENT, NOT_RUN, SERVER, SIGNATURE,
+    ACCOUNT, AT_FAULT, ATTEMPT, EXPECT_SERVER, LAST_EVENT, NOT_RUN, SERVER, SIGNATURE,
 };
 use fleet::scripts::{response_head, succeed, succeed_slowly, write_text};
 use fleet::{Backend, Fleet, Message, Script, request_head};
@@ -148,7 +148,7 @@
     expect_that!(received.text(), eq("body"));
     expect_that!(received.header(ATTEMPT), eq("id-1"));
     expect_that!(received.header(ACCOUNT), eq("first"));
-    expect_that!(received.header(EXPECT), eq("a"));
+    expect_that!(received.header(EXPECT_SERVER), eq("a"));
     expect_that!(received.header("authorization"), eq(""));
 }
 
@@ -173,7 +173,7 @@
 }
 
 fn events(request: &Message, stream: &mut TcpStream) -> bool {
-    let headers = format!("{SIGNATURE}: {}\r\n", request.header(EXPECT));
+    let headers = format!("{SIGNATURE}: {}\r\n", request.header(EXPECT_SERVER));
     let kind = "content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n";
     write_text(
         stream,
@@ -318,7 +318,7 @@
 }
 
 fn own_fault(request: &Message, stream: &mut TcpStream) -> bool {
-    let own = request.header(EXPECT);
+    let own = request.header(EXPECT_SERVER);
     let headers = format!("{SERVER}: {own}\r\n{AT_FAULT}: {own}\r\ncontent-length: 0\r\n");
     let head = response_head(request, "421 Misdirected", &headers);
     write_text(stream, &format!("{head}\r\n"))
--- a/crates/coordinator/src/engine_calls.rs
+++ b/crates/coordinator/src/engine_calls.rs
@@ -5,7 +5,7 @@
 use crate::engine_requests::relay_request;
 use crate::events::Event;
 use crate::relays::{self, GroupId, RequestKind};
-use bn_engine::{Answer, Call, What};
+use bn_engine::{Answer, Call, CallRequest};
 use bn_group::switch_controller::{self, Command, EngineRequest, Reply, SwitchController};
 use bn_wire::messages::envelope::Body;
 use bn_wire::messages::{EngineAnswers, EngineAsks};
@@ -149,14 +149,14 @@
             let reply = answer.map_or(Reply::Silent, |(status, body)| decode(status, &body));
             events.send(Event::EngineReplied(group, id, reply));
         };
-        self.calls.put(Call {
-            what: What {
+        self.calls.submit(Call {
+            request: CallRequest {
                 address,
                 path,
                 body,
                 server: call.engine,
             },
-            done: Box::new(done),
+            on_answer: Box::new(done),
         });
     }
 
--- a/crates/coordinator/src/http.rs
+++ b/crates/coordinator/src/http.rs
@@ -48,8 +48,8 @@
             let left = query(events, |reply| Event::Leave(id, reply)).await;
             ok_or_busy(left.is_some())
         }
-        Call::Settle => propose(events, body.to_vec()).await,
-        Call::Read => match query(events, Event::ReadDocument).await.flatten() {
+        Call::PutDocument => propose(events, body.to_vec()).await,
+        Call::GetDocument => match query(events, Event::ReadDocument).await.flatten() {
             Some(compressed) => match bn_wire::decompress(&compressed) {
                 Ok(document) => text(200, JSON, document),
                 Err(e) => error_response(500, &format!("the document cannot be unpacked: {e}")),
@@ -65,11 +65,15 @@
     if addresses.is_empty() {
         return error_response(503, "no gateway is known");
     }
-    text(200, JSON, bn_platform::addresses(&addresses, ANSWER_TTL))
+    text(
+        200,
+        JSON,
+        bn_platform::encode_addresses(&addresses, ANSWER_TTL),
+    )
 }
 
 async fn announce(events: &EventSender, id: &str, body: &[u8]) -> Response<Body> {
-    match bn_platform::announcement(id, body) {
+    match bn_platform::parse_announcement(id, body) {
         Ok(record) => {
             let accepted = query(events, |reply| Event::Announce(record, reply)).await;
             match accepted {
@@ -86,7 +90,7 @@
 
 /// An invalid document is refused whatever its version; versions are compared only afterwards.
 async fn propose(events: &EventSender, document: Vec<u8>) -> Response<Body> {
-    let parsed = match bn_platform::plan(&document) {
+    let parsed = match bn_platform::parse_document(&document) {
         Ok(parsed) => Box::new(parsed),
         Err(e) => {
             log::info!("document rejected: {e}");
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -259,7 +259,7 @@
             Ok(json) => json,
             Err(e) => return log::error!("cannot decompress document {}: {e}", update.version),
         };
-        match bn_platform::plan(&json) {
+        match bn_platform::parse_document(&json) {
             Ok(document) => {
                 let fields = json!({ "version": document.version(), "before": in_force });
                 self.shared.lines.put("document_in_force", fields);
