--- a/crates/cli/tests/fatal.rs
+++ b/crates/cli/tests/fatal.rs
@@ -60,8 +60,8 @@
 /// retries: a request terminates the backend server that runs it; the same caller sends it again
 /// through other gateways, several at once, and it terminates the next ones, which restart
 /// meanwhile. No process recorded which requests were running where a backend server terminated. On
-/// a day with 17 terminations, the request behind each had produced no event yet, and its caller
-/// had been seen before.
+/// a day with 17 terminations, the request behind each had produced no event yet, and was a retry:
+/// it had been refused or cut off before, at another gateway.
 #[googletest::test]
 fn a_request_that_terminates_backend_servers_is_known_to_all_gateways() {
     let mut fleet = Fleet::start(38);
