--- a/crates/cli/tests/bed/run.rs
+++ b/crates/cli/tests/testbed/run.rs
@@ -1,8 +1,8 @@
-//! Running a scenario file, line by line.
+//! Parses a scenario file and executes it statement by statement.
 
-use super::calls::{Ask, Fate, Load, send};
-use super::operate;
-use super::system::{Size, System};
+use super::calls::{CallOutcome, Load, Request, send};
+use super::operators;
+use super::system::{System, SystemSpec};
 use pest::Parser;
 use pest::iterators::Pair;
 use serde_json::{Value, json};
@@ -13,28 +13,28 @@
 use std::time::{Duration, Instant};
 
 #[derive(pest_derive::Parser)]
-#[grammar = "tests/bed/scenario.pest"]
+#[grammar = "tests/testbed/scenario.pest"]
 struct Grammar;
 
-pub(super) type Done<T = ()> = Result<T, String>;
+pub(super) type StepResult<T = ()> = Result<T, String>;
 
-pub(super) const READY: Duration = Duration::from_secs(30);
-pub(super) const PAUSE: Duration = Duration::from_millis(50);
+pub(super) const TIMEOUT: Duration = Duration::from_secs(30);
+pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-pub(super) struct Play {
+pub(super) struct Scenario {
     pub(super) system: System,
-    pub(super) calls: HashMap<String, JoinHandle<Fate>>,
-    pub(super) ended: HashMap<String, Fate>,
+    pub(super) calls: HashMap<String, JoinHandle<CallOutcome>>,
+    pub(super) finished: HashMap<String, CallOutcome>,
     pub(super) keys: HashMap<String, String>,
     pub(super) load: Option<Load>,
-    pub(super) outcomes: Vec<(Ask, Fate)>,
-    pub(super) number: u64,
+    pub(super) outcomes: Vec<(Request, CallOutcome)>,
+    pub(super) last_number: u64,
 }
 
 /// Runs the scenario at `path`.
-pub(crate) fn run(path: &Path) -> Done {
+pub(crate) fn run(path: &Path) -> StepResult {
     let text = fs::read_to_string(path).map_err(|e| e.to_string())?;
-    let mut play: Option<Play> = None;
+    let mut scenario: Option<Scenario> = None;
     for (i, line) in text.lines().enumerate() {
         let line = line.trim();
         if line.is_empty() || line.starts_with('#') {
@@ -45,28 +45,29 @@
         let statement = pairs.next().and_then(|l| l.into_inner().next());
         let statement = statement
             .and_then(|s| s.into_inner().next())
-            .ok_or("no statement")?;
-        match (&mut play, statement.as_rule()) {
-            (None, Rule::system) => play = Some(Play::new(&settings(statement))),
-            (None, _) => return Err(at("the first statement is `system`".into())),
-            (Some(play), _) => play
-                .step(statement)
-                .map_err(|e| format!("{}\n{}", at(e), play.system.logs()))?,
+            .ok_or("statement missing")?;
+        match (&mut scenario, statement.as_rule()) {
+            (None, Rule::system) => scenario = Some(Scenario::new(&settings(statement))),
+            (None, _) => return Err(at("the first statement must be `system`".into())),
+            (Some(scenario), _) => scenario
+                .execute(statement)
+                .map_err(|e| format!("{}\n{}", at(e), scenario.system.logs()))?,
         }
     }
     Ok(())
 }
 
 pub(super) fn settings(pair: Pair<'_, Rule>) -> HashMap<String, String> {
-    let all = pair.into_inner().filter(|p| p.as_rule() == Rule::setting);
-    all.map(|s| {
-        let mut parts = s.into_inner().map(|p| p.as_str().to_string());
-        (
-            parts.next().unwrap_or_default(),
-            parts.next().unwrap_or_default(),
-        )
-    })
-    .collect()
+    let pairs = pair.into_inner().filter(|p| p.as_rule() == Rule::setting);
+    pairs
+        .map(|s| {
+            let mut parts = s.into_inner().map(|p| p.as_str().to_string());
+            (
+                parts.next().unwrap_or_default(),
+                parts.next().unwrap_or_default(),
+            )
+        })
+        .collect()
 }
 
 pub(super) fn number(settings: &HashMap<String, String>, name: &str, default: u64) -> u64 {
@@ -80,17 +81,17 @@
     }
 }
 
-/// Words of a statement, in order; nested ones by themselves.
+/// Text of each direct part of a statement, in order.
 pub(super) fn words(pair: Pair<'_, Rule>) -> Vec<String> {
     pair.into_inner()
         .map(|p| p.as_str().trim().to_string())
         .collect()
 }
 
-impl Play {
-    fn new(settings: &HashMap<String, String>) -> Play {
+impl Scenario {
+    fn new(settings: &HashMap<String, String>) -> Scenario {
         let count = |name: &str, default: u64| number(settings, name, default) as usize;
-        let size = Size {
+        let spec = SystemSpec {
             entries: count("entries", 3),
             control: count("control", 3),
             engines: count("engines", 1),
@@ -100,18 +101,18 @@
             group: count("group", 0) == 1,
             tls: false,
         };
-        Play {
-            system: System::new(size),
+        Scenario {
+            system: System::new(spec),
             calls: HashMap::new(),
-            ended: HashMap::new(),
+            finished: HashMap::new(),
             keys: HashMap::new(),
             load: None,
             outcomes: Vec::new(),
-            number: 1000,
+            last_number: 1000,
         }
     }
 
-    fn step(&mut self, pair: Pair<'_, Rule>) -> Done {
+    fn execute(&mut self, pair: Pair<'_, Rule>) -> StepResult {
         match pair.as_rule() {
             Rule::start => self.start(&words(pair)),
             Rule::signal => self.signal(&words(pair)),
@@ -119,12 +120,12 @@
                 thread::sleep(time(&words(pair)[0]));
                 Ok(())
             }
-            Rule::cuts => self.cut(&words(pair)),
-            Rule::alike => self.alike(pair),
+            Rule::cuts => self.partition(&words(pair)),
+            Rule::alike => self.numbered_command(pair),
             Rule::refuse => {
                 let w = words(pair);
-                let reason = self.command("", &w[1], None)?;
-                wanted(&reason, Some(w[0].trim_matches('"')))
+                let refusal = self.command("", &w[1], None)?;
+                check_refusal(&refusal, Some(w[0].trim_matches('"')))
             }
             Rule::repeat => self.repeat(&words(pair)),
             Rule::call => self.call(pair),
@@ -135,15 +136,15 @@
                 Ok(())
             }
             Rule::fake => self.fake(&words(pair)),
-            Rule::expect => self.expect(pair.into_inner().next().ok_or("expect what?")?),
+            Rule::expect => self.expect(pair.into_inner().next().ok_or("expectation missing")?),
             _ => {
                 let refusal = self.command("", pair.as_str(), None)?;
-                wanted(&refusal, None)
+                check_refusal(&refusal, None)
             }
         }
     }
 
-    fn start(&mut self, names: &[String]) -> Done {
+    fn start(&mut self, names: &[String]) -> StepResult {
         let all = names == ["all"];
         let names = if all {
             self.system.names()
@@ -153,11 +154,11 @@
         for name in &names {
             self.system.start(name);
         }
-        if all { self.ready() } else { Ok(()) }
+        if all { self.wait_until_ready() } else { Ok(()) }
     }
 
-    /// All backend servers serve at all entries, and keys can be judged.
-    fn ready(&mut self) -> Done {
+    /// Waits until every entry has all backend servers serving and accepts idempotency keys.
+    fn wait_until_ready(&mut self) -> StepResult {
         let backends = self
             .system
             .names()
@@ -166,7 +167,7 @@
             .count();
         for entry in self.system.entries() {
             let query = "show backends where state = serving";
-            self.rows(&entry, query, backends, READY)?;
+            self.wait_for_rows(&entry, query, backends, TIMEOUT)?;
         }
         let start = Instant::now();
         let service = match self.system.names().iter().any(|n| n == "n1") {
@@ -175,16 +176,16 @@
         };
         loop {
             let key = uuid::Uuid::now_v7().to_string();
-            let ask = self.ask("e1", service, "ready?".into(), Some(key), 1, None);
-            match send(&ask) {
-                Fate::Whole => return Ok(()),
-                other if start.elapsed() > READY => return Err(format!("not ready: {other:?}")),
-                _ => thread::sleep(PAUSE * 4),
+            let request = self.request("e1", service, "ready?".into(), Some(key), 1, None);
+            match send(&request) {
+                CallOutcome::Whole => return Ok(()),
+                other if start.elapsed() > TIMEOUT => return Err(format!("not ready: {other:?}")),
+                _ => thread::sleep(POLL_INTERVAL * 4),
             }
         }
     }
 
-    fn ask(
+    fn request(
         &self,
         entry: &str,
         service: &str,
@@ -192,9 +193,9 @@
         key: Option<String>,
         tokens: usize,
         deadline_ms: Option<u64>,
-    ) -> Ask {
-        let (entry, service) = (self.system.callers(entry), service.to_string());
-        Ask {
+    ) -> Request {
+        let (entry, service) = (self.system.caller_addr(entry), service.to_string());
+        Request {
             entry,
             service,
             prompt,
@@ -204,82 +205,82 @@
         }
     }
 
-    fn signal(&mut self, words: &[String]) -> Done {
+    fn signal(&mut self, words: &[String]) -> StepResult {
         let (verb, name) = (words[0].as_str(), words[1].as_str());
         match verb {
             "kill" => self.system.kill(name),
             "freeze" => self.system.freeze(name),
             "thaw" => self.system.thaw(name),
             "stop" => self.system.stop(name),
-            _ => self.system.empty(name),
+            _ => self.system.delete_data(name),
         }
         Ok(())
     }
 
-    fn cut(&mut self, words: &[String]) -> Done {
-        let mut cuts = self.system.cuts.lock().unwrap();
+    fn partition(&mut self, words: &[String]) -> StepResult {
+        let mut partitions = self.system.partitions.lock().unwrap();
         match words {
             [] => {
-                cuts.out.clear();
-                cuts.into.clear();
-                cuts.pairs.clear();
+                partitions.senders.clear();
+                partitions.receivers.clear();
+                partitions.pairs.clear();
             }
             [verb, a, b] if verb == "part" => {
-                cuts.pairs.insert((a.clone(), b.clone()));
-                cuts.pairs.insert((b.clone(), a.clone()));
+                partitions.pairs.insert((a.clone(), b.clone()));
+                partitions.pairs.insert((b.clone(), a.clone()));
             }
             [verb, name, ..] => {
-                cuts.out.insert(name.clone());
+                partitions.senders.insert(name.clone());
                 if verb == "cut" {
-                    cuts.into.insert(name.clone());
+                    partitions.receivers.insert(name.clone());
                 }
             }
-            _ => return Err("cut whom?".into()),
+            _ => return Err("process name missing".into()),
         }
         Ok(())
     }
 
-    /// A numbered command with its expected outcome.
-    fn alike(&mut self, pair: Pair<'_, Rule>) -> Done {
+    /// Sends a command with a given operator, number and token, and checks its outcome.
+    fn numbered_command(&mut self, pair: Pair<'_, Rule>) -> StepResult {
         let parts: Vec<_> = pair.into_inner().collect();
         let names: Vec<&str> = parts
             .iter()
             .filter(|p| p.as_rule() == Rule::name)
             .map(Pair::as_str)
             .collect();
-        let of = |rule| {
+        let part = |rule| {
             parts
                 .iter()
                 .find(|p| p.as_rule() == rule)
                 .map_or("", |p| p.as_str())
         };
-        let number = of(Rule::number).parse().map_err(|_| "no number")?;
+        let number = part(Rule::number).parse().map_err(|_| "invalid number")?;
         let entry = names.get(2).copied().unwrap_or("");
-        let refusal = self.command(entry, of(Rule::order), Some((names[0], number, names[1])))?;
-        let outcome = of(Rule::outcome);
+        let refusal = self.command(entry, part(Rule::order), Some((names[0], number, names[1])))?;
+        let outcome = part(Rule::outcome);
         let reason = outcome.split('"').nth(1);
-        wanted(&refusal, reason)
+        check_refusal(&refusal, reason)
     }
 
-    fn repeat(&mut self, words: &[String]) -> Done {
-        let times: u64 = words[0].parse().map_err(|_| "how often?")?;
+    fn repeat(&mut self, words: &[String]) -> StepResult {
+        let times: u64 = words[0].parse().map_err(|_| "invalid repeat count")?;
         for i in 1..=times {
             let refusal = self.command("", &words[1].replace("{i}", &i.to_string()), None)?;
-            wanted(&refusal, None)?;
+            check_refusal(&refusal, None)?;
         }
         Ok(())
     }
 
-    /// Sends a command; `Some`: the reason it was refused for.
+    /// Sends a command; returns the reason of the refusal, `None` if accepted.
     fn command(
         &mut self,
         entry: &str,
         text: &str,
         numbered: Option<(&str, u64, &str)>,
-    ) -> Done<Option<String>> {
-        self.number += 1;
-        let fresh = format!("t{}", self.number);
-        let (operator, number, token) = numbered.unwrap_or(("scenario", self.number, &fresh));
+    ) -> StepResult<Option<String>> {
+        self.last_number += 1;
+        let fresh = format!("t{}", self.last_number);
+        let (operator, number, token) = numbered.unwrap_or(("scenario", self.last_number, &fresh));
         let body = json!({ "operator": operator, "number": number, "token": token, "text": text });
         let start = Instant::now();
         loop {
@@ -287,37 +288,40 @@
                 "" => self.any_entry()?,
                 named => named.to_string(),
             };
-            match operate::post(&self.system, &entry, &body) {
+            match operators::post(&self.system, &entry, &body) {
                 Ok((200, _)) => return Ok(None),
                 Ok((409 | 400, value)) => {
                     let reason = value.get("reason").or(value.get("error"));
                     return Ok(Some(reason.map(Value::to_string).unwrap_or_default()));
                 }
-                // No outcome yet: the same command again, as an operator would.
-                _ if start.elapsed() < READY => thread::sleep(PAUSE),
-                other => return Err(format!("no outcome: {other:?}")),
+                // Outcome unknown: repeats the same command, as an operator would.
+                _ if start.elapsed() < TIMEOUT => thread::sleep(POLL_INTERVAL),
+                other => return Err(format!("command has no outcome: {other:?}")),
             }
         }
     }
 
-    fn any_entry(&self) -> Done<String> {
+    fn any_entry(&self) -> StepResult<String> {
         let entries = self.system.entries();
-        let up: Vec<_> = entries
+        let running: Vec<_> = entries
             .into_iter()
-            .filter(|e| self.system.running(e))
+            .filter(|e| self.system.is_running(e))
             .collect();
-        let turn = self.number as usize % up.len().max(1);
-        up.get(turn).cloned().ok_or_else(|| "no entry runs".into())
+        let next = self.last_number as usize % running.len().max(1);
+        running
+            .get(next)
+            .cloned()
+            .ok_or_else(|| "no entry runs".into())
     }
 
-    /// Waits until a query gives so many rows, at one entry or at any that runs.
-    pub(super) fn rows(
+    /// Polls a query at one entry, or at any running entry, until it returns `count` rows.
+    pub(super) fn wait_for_rows(
         &mut self,
         entry: &str,
         query: &str,
         count: usize,
         within: Duration,
-    ) -> Done {
+    ) -> StepResult {
         let start = Instant::now();
         loop {
             let at = match entry {
@@ -325,51 +329,61 @@
                 named => named.to_string(),
             };
             let left = within.saturating_sub(start.elapsed());
-            let step = if entry.is_empty() {
-                left.min(PAUSE * 20)
+            let timeout = if entry.is_empty() {
+                left.min(POLL_INTERVAL * 20)
             } else {
                 left
             };
-            let got = operate::rows(&self.system, &at, query, count, step);
-            if got.is_ok() || start.elapsed() >= within {
-                return got;
+            let result = operators::wait_for_rows(&self.system, &at, query, count, timeout);
+            if result.is_ok() || start.elapsed() >= within {
+                return result;
             }
-            self.number += 1;
+            self.last_number += 1;
         }
     }
 
-    fn call(&mut self, pair: Pair<'_, Rule>) -> Done {
-        let set = settings(pair.clone());
+    fn call(&mut self, pair: Pair<'_, Rule>) -> StepResult {
+        let opts = settings(pair.clone());
         let w = words(pair);
         let (id, service, entry) = (w[0].clone(), w[1].clone(), w[2].clone());
-        let key = set.get("key").map(|name| {
+        let key = opts.get("key").map(|name| {
             let fresh = || uuid::Uuid::now_v7().to_string();
             self.keys.entry(name.clone()).or_insert_with(fresh).clone()
         });
-        let prompt = set.get("prompt").cloned().unwrap_or_else(|| id.clone());
-        let tokens = number(&set, "tokens", 8) as usize;
-        let deadline = set.get("deadline").map(|d| d.parse().unwrap());
-        let ask = self.ask(&entry, &service, prompt, key, tokens, deadline);
-        self.calls.insert(id, thread::spawn(move || send(&ask)));
+        let prompt = opts.get("prompt").cloned().unwrap_or_else(|| id.clone());
+        let tokens = number(&opts, "tokens", 8) as usize;
+        let deadline = opts.get("deadline").map(|d| d.parse().unwrap());
+        let request = self.request(&entry, &service, prompt, key, tokens, deadline);
+        self.calls.insert(id, thread::spawn(move || send(&request)));
         Ok(())
     }
 
-    fn start_load(&mut self, pair: Pair<'_, Rule>) -> Done {
-        let set = settings(pair.clone());
+    fn start_load(&mut self, pair: Pair<'_, Rule>) -> StepResult {
+        let opts = settings(pair.clone());
         let names: Vec<String> = pair
             .into_inner()
             .filter(|p| p.as_rule() == Rule::name)
             .map(|p| p.as_str().to_string())
             .collect();
-        let entries = names[1..].iter().map(|e| self.system.callers(e)).collect();
-        let (rate, tokens) = (number(&set, "rate", 20), number(&set, "tokens", 8) as usize);
-        let keyed = number(&set, "keyed", 0) == 1;
+        let entries = names[1..]
+            .iter()
+            .map(|e| self.system.caller_addr(e))
+            .collect();
+        let (rate, tokens) = (
+            number(&opts, "rate", 20),
+            number(&opts, "tokens", 8) as usize,
+        );
+        let keyed = number(&opts, "keyed", 0) == 1;
         self.load = Some(Load::start(&names[0], entries, rate, tokens, keyed));
         Ok(())
     }
 
-    fn fake(&mut self, words: &[String]) -> Done {
-        let url = format!("http://{}/fake/{}", self.system.fake(&words[0]), words[1]);
+    fn fake(&mut self, words: &[String]) -> StepResult {
+        let url = format!(
+            "http://{}/fake/{}",
+            self.system.fake_addr(&words[0]),
+            words[1]
+        );
         let body = words.get(2).cloned().unwrap_or_default();
         ureq::post(url)
             .send(body)
@@ -378,11 +392,11 @@
     }
 }
 
-fn wanted(refusal: &Option<String>, reason: Option<&str>) -> Done {
+fn check_refusal(refusal: &Option<String>, reason: Option<&str>) -> StepResult {
     match (refusal, reason) {
         (None, None) => Ok(()),
-        (Some(got), Some(wanted)) if got.contains(wanted) => Ok(()),
+        (Some(got), Some(expected)) if got.contains(expected) => Ok(()),
         (Some(got), _) => Err(format!("refused: {got}")),
-        (None, Some(_)) => Err("accepted".into()),
+        (None, Some(_)) => Err("accepted, expected a refusal".into()),
     }
 }
