--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -59,7 +59,7 @@
             .map_err(|refusal| attempts.final_refusal(refusal))?;
         let reservation = placement::reserve(shared, ctx, &attempts.tried).await;
         let reservation = reservation.map_err(|refusal| attempts.final_refusal(refusal))?;
-        // It waited for its slot, and more may be known of the request by now.
+        // The request waited for its slot, and more may be known of it by now.
         let admitted = suspects::admit(shared, ctx, attempts).await;
         admitted.map_err(|refusal| attempts.final_refusal(refusal))?;
         let id = reservation.server.id.clone();
@@ -119,8 +119,9 @@
     }
 }
 
-/// Whether the request may go to another backend server although it may have run. A suspect may
-/// not: the next backend server would terminate, too, before this termination is known.
+/// Whether the request may go to another backend server although it may have run; if so, charges
+/// the retry budget. A suspect may not: the next backend server would terminate, too, before this
+/// termination is known.
 pub(crate) fn take_retry(shared: &Shared, ctx: &RequestContext, attempts: &Attempts) -> bool {
     let may = ctx.idempotent() && attempts.trial.is_none() && attempts.sent < ctx.route.attempts;
     may && shared.try_withdraw_retry(&ctx.service)
