--- a/crates/coordinator/src/announcements.rs
+++ b/crates/coordinator/src/announcements.rs
@@ -21,9 +21,9 @@
     Announced,
     /// The backend server reported here that it leaves.
     Left,
-    /// It reported its group or slowdown to this leader.
+    /// The backend server reported its group or slowdown to this leader.
     Rank,
-    /// A gateway reported its limit.
+    /// A gateway reported the limit that the backend server set.
     Limit,
     /// Another coordinator sent the change.
     Coordinator,
--- a/crates/coordinator/src/cases.rs
+++ b/crates/coordinator/src/cases.rs
@@ -23,7 +23,7 @@
 
 /// File with the refused requests, in the data directory.
 const FILE: &str = "refused";
-/// Interval between checks for expired cases.
+/// Interval between checks for expired cases, which also retry a failed write.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Time within which several gateways report the same termination: ranks that wait for another one
@@ -45,8 +45,8 @@
 }
 
 impl Cases {
-    /// Loads the refused requests from disk. Unreadable ones are lost and cost backend servers
-    /// until they are detected again; the coordinator starts all the same.
+    /// Loads the refused requests from disk. If they cannot be read, these requests terminate
+    /// backend servers until they are detected again; the coordinator starts all the same.
     pub(crate) fn open(data: &Path) -> Cases {
         let file = AtomicFile::new(data, FILE, Disk::default());
         let mut table = Table::default();
@@ -130,8 +130,8 @@
         }
     }
 
-    /// Pushes a termination to gateways once: those without a request there would go on sending
-    /// requests to its group, or try to connect.
+    /// Pushes a termination to gateways once: those that had no request on that backend server
+    /// would otherwise go on sending requests to its group, or try to connect to it.
     fn push_termination(&mut self, now: Duration, start: &Start) {
         self.cases.pushed.retain(|_, at| now < *at + REPORT_WINDOW);
         if self.cases.pushed.insert(start.clone(), now).is_some() {
--- a/crates/coordinator/src/core.rs
+++ b/crates/coordinator/src/core.rs
@@ -34,7 +34,7 @@
 /// interval.
 const DEFERRABLE_TIME: Duration = Duration::from_millis(20);
 /// For how long what a leader sent counts as the newest: a leader that lost its majority steps down
-/// within this time, and a coordinator that is cut off sends no document to gateways without one.
+/// within this time, and a coordinator that is cut off sends no document to gateways that have none.
 const CURRENT_WINDOW: Duration = Duration::from_millis(900);
 
 /// An event loop iteration that took this long was delayed: half of a gateway's poll interval.
@@ -78,7 +78,8 @@
     calls_made: u64,
 }
 
-/// Starts a coordinator; its thread ends at [`Event::Stop`] or when its disk fails.
+/// Starts a coordinator; its thread ends at [`Event::Stop`], or on an error other than one of the
+/// store, after which the core is restarted.
 pub fn start(
     settings: &Settings,
     conf: &Conf,
@@ -239,9 +240,9 @@
         }
     }
 
-    /// Id of a request to another coordinator. Ids start at a random number: a late response to a
-    /// request of an earlier incarnation would otherwise be taken for the response to a new
-    /// request, and acknowledge a document that was never committed.
+    /// Id of a request to another coordinator or a relay. Ids start at a random number: a late
+    /// response to a request of an earlier incarnation would otherwise be taken for the response
+    /// to a new request, and acknowledge a document that was never committed.
     pub(crate) fn next_call_id(&mut self) -> u64 {
         self.calls_made += 1;
         self.net.incarnation().wrapping_add(self.calls_made)
@@ -415,7 +416,7 @@
     }
 }
 
-/// Counts a response whose receiver is gone, such as a closed HTTP request, and does nothing else.
+/// Counts a response whose receiver is gone, for example because the HTTP request was closed.
 pub(crate) fn count_unwanted<T>(sent: std::result::Result<(), T>) {
     if sent.is_err() {
         metrics::counter!("answers_unwanted_total").increment(1);
--- a/crates/coordinator/src/engine_calls.rs
+++ b/crates/coordinator/src/engine_calls.rs
@@ -88,13 +88,13 @@
         self.send_through(now, group, forwarder, &calls, &map);
     }
 
-    /// The packed map of the prepare orders in a batch; they all have the same one.
+    /// The compressed map of the prepare orders in a batch; they all have the same one.
     fn batch_map(&mut self, calls: &[RelayedCall]) -> Vec<u8> {
         let map = calls.iter().find_map(|c| match &c.call.request {
             EngineRequest::Order(Command::Prepare(_, map), ..) => Some(map.clone()),
             _ => None,
         });
-        map.map_or_else(Vec::new, |map| self.groups.encodings.packed(&map))
+        map.map_or_else(Vec::new, |map| self.groups.encodings.compressed(&map))
     }
 
     /// Sends a batch to its first relay, which forwards it to the others.
--- a/crates/coordinator/src/engine_requests.rs
+++ b/crates/coordinator/src/engine_requests.rs
@@ -15,7 +15,7 @@
 #[derive(Default)]
 pub(crate) struct MapEncodings {
     ranked: Option<(Arc<ExpertMap>, RankedMap)>,
-    packed: Option<(Arc<ExpertMap>, Vec<u8>)>,
+    compressed: Option<(Arc<ExpertMap>, Vec<u8>)>,
 }
 
 impl MapEncodings {
@@ -49,20 +49,20 @@
     }
 
     /// The map as it is sent to relays.
-    pub(crate) fn packed(&mut self, map: &Arc<ExpertMap>) -> Vec<u8> {
-        if let Some((known, packed)) = &self.packed
+    pub(crate) fn compressed(&mut self, map: &Arc<ExpertMap>) -> Vec<u8> {
+        if let Some((known, compressed)) = &self.compressed
             && Arc::ptr_eq(known, map)
         {
-            return packed.clone();
+            return compressed.clone();
         }
-        let packed = bn_engine::compress_placements(rank_count(map), &map.layers);
+        let compressed = bn_engine::compress_placements(rank_count(map), &map.layers);
         // A relay refuses an empty map, and its engine is then called directly.
-        let packed = packed.unwrap_or_else(|e| {
+        let compressed = compressed.unwrap_or_else(|e| {
             log::error!("cannot encode expert map: {e}");
             Vec::new()
         });
-        self.packed = Some((map.clone(), packed.clone()));
-        packed
+        self.compressed = Some((map.clone(), compressed.clone()));
+        compressed
     }
 
     /// The map as orders contain it. It is encoded once for all ranks: it has some KB, and the
--- a/crates/coordinator/src/groups.rs
+++ b/crates/coordinator/src/groups.rs
@@ -15,7 +15,7 @@
 
 /// First call id of group discovery, far above those of switch controllers.
 const FIRST_DISCOVERY_ID: u64 = 1 << 62;
-/// Most discovery calls per term.
+/// Maximum number of discovery calls per term.
 const IDS_PER_TERM: u64 = 1 << 20;
 
 /// The leader's state of all groups.
@@ -92,7 +92,8 @@
             return;
         };
         let mut names = discovery.complete_groups().to_vec();
-        // Its switch controller may hold an incomplete group, and must be able to release it.
+        // The switch controller of a group that is now incomplete may hold it, and must be able to
+        // release it.
         let known = self
             .groups
             .controllers
--- a/crates/coordinator/src/pushes.rs
+++ b/crates/coordinator/src/pushes.rs
@@ -1,5 +1,5 @@
-//! Pushes of changes to backend servers: in batches, and at once if a departure must be known
-//! before it is acknowledged.
+//! Pushes of changes of backend servers, to gateways and other coordinators: in batches, and at once
+//! if a departure must be known before it is acknowledged.
 //!
 //! A push per change and gateway would be tens of thousands of messages when the ranks of a large
 //! group report. So changes are batched, and sent to the gateways that subscribe here.
@@ -12,8 +12,8 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Interval between two pushes of changes that are not urgent to the other coordinators, which
-/// gateways poll in turn.
+/// Interval between two pushes of non-urgent changes to the other coordinators, which gateways poll
+/// in turn.
 const PUSH_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A caller that waits until a change has been pushed.
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Answers `waiter` once the changes so far have been pushed, if they are urgent.
+    /// Answers `waiter` after the next push; that includes the changes so far if they are urgent.
     pub(crate) fn answer_after_push(&mut self, waiter: Waiter) {
         self.waiters.push(waiter);
     }
--- a/crates/coordinator/src/relays.rs
+++ b/crates/coordinator/src/relays.rs
@@ -16,14 +16,14 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-/// A relay that forwards requests gives up on the others after 150 ms; the rest is for a busy
-/// leader: one that considers relays dead too early calls their engines itself, and gets busier
-/// still. Requests to relays keep no group waiting.
+/// Timeout of polls and of orders that are not around a hold; these keep no group waiting. A relay
+/// that forwards requests gives up on the others after 150 ms; the rest is for a busy leader: one
+/// that considers relays dead too early calls their engines itself, and gets busier still.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(600);
 /// Timeout of orders around a hold: the group may be stalled until the next attempt, and a relay
 /// that forwards them has given up on the others by then.
 const HOLD_TIMEOUT: Duration = Duration::from_millis(250);
-/// Timeout of polls that wait for copies: 400 ms more.
+/// Timeout of polls that wait for copies: 400 ms more than [`REQUEST_TIMEOUT`].
 const COPY_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Up to this many simultaneous requests are not forwarded.
 const MAX_UNFORWARDED: usize = 3;
@@ -32,7 +32,7 @@
 /// Approximate number of ranks of a group that report counts: at 500 requests a second about 10,000
 /// tokens per poll.
 const COUNT_SAMPLE: usize = 48;
-/// First time for which a relay that did not answer is skipped; it doubles with each further
+/// Time for which a relay is skipped after its first failure to answer; it doubles with each further
 /// failure in a row. One that is dead or cut off is still detected soon enough. If many are silent
 /// at once, the leader itself was probably delayed or its links are new: a new leader that skipped
 /// all of them would call every engine itself, and a group that is still held would be stalled
--- a/crates/coordinator/src/updates.rs
+++ b/crates/coordinator/src/updates.rs
@@ -29,20 +29,21 @@
 /// Progress of the updates from another coordinator.
 #[derive(Debug, Clone, Default)]
 struct Peer {
-    source: u64,
+    incarnation: u64,
     cursor: u64,
-    cases_cursor: u64,
+    case_cursor: u64,
     unanswered: u32,
 }
 
-/// Gateways that are behind: their version, and since when they have been behind.
+/// Gateways that are behind: their version, and when they were first behind with it.
 #[derive(Debug, Clone, Default)]
 pub struct GatewayLag(IndexMap<SocketAddr, (u64, Duration)>);
 
 impl GatewayLag {
     /// Whether a gateway has been behind for so long that any coordinator should send it the
-    /// document. The time counts from when the gateway fell behind: documents in quick succession
-    /// are each new, and help would never be due. A gateway without any document gets it at once.
+    /// document. The time counts from when the gateway was first behind with its version, not from
+    /// the newest document: with documents in quick succession help would otherwise never be due.
+    /// A gateway without any document gets it at once.
     pub fn needs_help(&mut self, now: Duration, gateway: SocketAddr, version: u64) -> bool {
         let (known, since) = self.0.entry(gateway).or_insert((version, now));
         if *known != version {
@@ -212,17 +213,18 @@
         self.record_coordinators(&update.coordinators);
         let peer = self.peers.by_inbox.entry(inbox).or_default();
         peer.unanswered = 0;
-        // A push has no cursor: it does not say up to where registrations are known.
+        // A push between coordinators has no cursor: it does not say up to where registrations are
+        // known.
         if update.mark > 0 {
-            if peer.source != incarnation {
+            if peer.incarnation != incarnation {
                 // Another incarnation counts its changes anew.
-                peer.cases_cursor = 0;
+                peer.case_cursor = 0;
             }
-            peer.source = incarnation;
+            peer.incarnation = incarnation;
             peer.cursor = update.mark;
         }
         if update.cases_mark > 0 {
-            peer.cases_cursor = update.cases_mark;
+            peer.case_cursor = update.cases_mark;
         }
         self.merge_cases(now, inbox, update.cases);
         for raw in update.changed {
@@ -259,9 +261,9 @@
             }
             peer.unanswered += 1;
             let poll = wire::NewsAsk {
-                source: peer.source,
+                source: peer.incarnation,
                 mark: peer.cursor,
-                cases: peer.cases_cursor,
+                cases: peer.case_cursor,
                 unheard: lost,
                 ..wire::NewsAsk::default()
             };
--- a/crates/engine/src/forward.rs
+++ b/crates/engine/src/forward.rs
@@ -25,8 +25,8 @@
 }
 
 impl Forwarder {
-    /// Forwards a request to the relay that it is for; reports the engine as without contact if
-    /// that relay does not answer in time.
+    /// Forwards a request to the relay that it is for; the answer says so if that relay does not
+    /// answer in time.
     pub(crate) async fn forward(
         &self,
         net: &Net,
@@ -61,7 +61,7 @@
             _ => {
                 // Messages queued on the link must not arrive once the peer is back.
                 net.disconnect(peer);
-                without_contact(call)
+                unanswered(call)
             }
         }
     }
@@ -91,7 +91,7 @@
     }
 }
 
-fn without_contact(call: u64) -> EngineAnswers {
+fn unanswered(call: u64) -> EngineAnswers {
     let answer = EngineAnswer {
         call,
         unheard: true,
--- a/crates/engine/tests/relay.rs
+++ b/crates/engine/tests/relay.rs
@@ -261,8 +261,8 @@
     let mut all = harness.answers();
 
     all.answers.sort_by_key(|a| a.call);
-    let without_contact: Vec<_> = all.answers.iter().map(|a| (a.call, a.unheard)).collect();
-    expect_that!(without_contact, eq(&vec![(1, false), (2, true)]));
+    let unanswered: Vec<_> = all.answers.iter().map(|a| (a.call, a.unheard)).collect();
+    expect_that!(unanswered, eq(&vec![(1, false), (2, true)]));
     expect_that!(start.elapsed(), lt(Duration::from_secs(2)));
 }
 
