--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -74,7 +74,7 @@
     }
 
     /// Opens the inbox of a process that is starting, under a new random incarnation. `deliver`
-    /// puts each message into a bounded ring and returns `false` if that is full; messages
+    /// puts each message into a bounded queue and returns `false` if that is full; messages
     /// dropped there are counted, as those dropped on a link are.
     pub fn start(
         role: Role,
--- a/crates/net/src/traffic.rs
+++ b/crates/net/src/traffic.rs
@@ -14,7 +14,7 @@
     Refused,
     /// Delivered to this process.
     Received,
-    /// Received, but dropped because this process's ring was full.
+    /// Received, but dropped because this process's queue was full.
     Dropped,
 }
 
--- a/crates/net/tests/links.rs
+++ b/crates/net/tests/links.rs
@@ -155,8 +155,8 @@
     expect_true!(completed);
 }
 
-/// Guards against a restarted peer that receives nothing any more: it closes its inbox, is away for
-/// a while and opens the inbox again, but the link to its earlier incarnation no longer works.
+/// Guards against a restarted peer that receives nothing any more: it closes its inbox, is absent
+/// for a while and opens the inbox again, but the link to its earlier incarnation no longer works.
 #[googletest::test]
 fn a_restarted_peer_is_reached_again() {
     let (_, net) = open();
--- a/crates/serve/src/client.rs
+++ b/crates/serve/src/client.rs
@@ -20,7 +20,8 @@
 /// Timeout for opening a connection. Two round trips between failure domains take 4 ms; a dropped
 /// SYN is retransmitted only after one second, so trying another backend server is faster.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Idle time after which a connection is not reused, if its backend server announced none.
+/// Idle time after which a connection is not reused, also if its backend server announced a longer
+/// one or none.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Margin below the announced idle timeout, for packets in flight.
 const IDLE_MARGIN: Duration = Duration::from_millis(800);
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -8,7 +8,7 @@
 /// A disk operation that is about to run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DiskOperation {
-    /// Write to a file.
+    /// Write to a file, or truncate the log.
     Write,
     /// Sync a file.
     Sync,
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -25,8 +25,8 @@
         /// Error of the operating system.
         source: std::io::Error,
     },
-    /// Synced content is damaged: this replica has lost something that it promised, so it must not
-    /// vote. Empty the directory to join again as a new replica.
+    /// Synced content is damaged: this replica has lost something that it acknowledged, so it must
+    /// not vote. Empty the directory to join again as a new replica.
     #[snafu(display("{}: damaged at byte {offset}: {reason}", path.display()))]
     Damaged {
         /// The file.
--- a/crates/trace/src/lines.rs
+++ b/crates/trace/src/lines.rs
@@ -1,6 +1,6 @@
 //! Structured log lines on standard output: one JSON object per decision or change of known state.
 //!
-//! A thread writes the lines from a bounded ring. If the reader of standard output stalls, lines
+//! A thread writes the lines from a bounded queue. If the reader of standard output stalls, lines
 //! are dropped and counted, and the next line that is written has the count: no request ever
 //! waits for logging.
 
@@ -12,31 +12,31 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// Maximum number of lines queued for the writer: about one second's output of the busiest process.
-const RING_CAPACITY: usize = 4096;
+const QUEUE_CAPACITY: usize = 4096;
 
 /// Writes a process's structured log lines. Cheap to clone.
 #[derive(Clone)]
 pub struct Lines {
     process: Arc<str>,
-    ring: Sender<String>,
+    sender: Sender<String>,
     dropped: Arc<AtomicU64>,
 }
 
 impl Lines {
     /// Starts the writer thread on standard output.
     pub fn start(process: &str) -> std::io::Result<Lines> {
-        let (ring, lines) = bounded(RING_CAPACITY);
+        let (sender, lines) = bounded(QUEUE_CAPACITY);
         std::thread::Builder::new()
             .name("lines".into())
             .spawn(move || write(&lines, std::io::stdout()))?;
-        Ok(Lines::with_sender(process, ring))
+        Ok(Lines::with_sender(process, sender))
     }
 
     /// Sends the lines to a channel of the caller, for tests.
-    pub fn with_sender(process: &str, ring: Sender<String>) -> Lines {
+    pub fn with_sender(process: &str, sender: Sender<String>) -> Lines {
         Lines {
             process: process.into(),
-            ring,
+            sender,
             dropped: Arc::default(),
         }
     }
@@ -55,7 +55,7 @@
             line.extend(fields);
         }
         let text = Value::Object(line).to_string();
-        if self.ring.try_send(text).is_err() {
+        if self.sender.try_send(text).is_err() {
             self.dropped.fetch_add(lost + 1, Ordering::Relaxed);
             metrics::counter!("log_lines_dropped_total").increment(1);
         }
@@ -66,7 +66,7 @@
     while let Ok(line) = lines.recv() {
         let mut batch = line;
         batch.push('\n');
-        for more in lines.try_iter().take(RING_CAPACITY) {
+        for more in lines.try_iter().take(QUEUE_CAPACITY) {
             batch.push_str(&more);
             batch.push('\n');
         }
