--- a/crates/conf/src/check.rs
+++ b/crates/conf/src/check.rs
@@ -64,7 +64,7 @@
     pub agent: Option<Agent>,
     /// The gateway role: forwards callers directly to backend servers.
     pub gateway: Option<Gateway>,
-    /// The coordinator role: settled documents and registrations.
+    /// The coordinator role: committed documents and registrations.
     pub coordinator: Option<Coordinator>,
     /// The relay role, beside an engine of a lock-step group.
     pub relay: Option<Relay>,
--- a/crates/fake/src/serve.rs
+++ b/crates/fake/src/serve.rs
@@ -55,7 +55,7 @@
     pub step_time: Duration,
     /// Age of its load reports.
     pub load_lag: Duration,
-    /// Whether it refuses orders with old fencing numbers.
+    /// Whether it refuses orders with old fencing tokens.
     pub checks_fences: bool,
     /// Time to load the weights of a map.
     pub load_time: Duration,
--- a/crates/fake/src/steps.rs
+++ b/crates/fake/src/steps.rs
@@ -24,12 +24,12 @@
     maps: BTreeMap<u64, u64>,
     prepared: u64,
     loading: Option<(u64, Instant)>,
-    /// Highest fencing number received; only some engines check it.
+    /// Highest fencing token received; only some engines check it.
     fence: u64,
 }
 
 impl Steps {
-    /// Whether an order is refused; an engine that checks fencing numbers refuses old ones.
+    /// Whether an order is refused; an engine that checks fencing tokens refuses old ones.
     pub(crate) fn refuses(&mut self, fence: u64, checks: bool) -> bool {
         let old = checks && fence < self.fence;
         self.fence = self.fence.max(fence);
@@ -44,7 +44,7 @@
     }
 
     pub(crate) fn grant(&mut self, order: &Order, load_time: Duration) {
-        // An engine that rejoins starts with the settled map, not before it.
+        // An engine that rejoins starts at the first step of the committed map or later.
         if self.maps.is_empty() {
             self.next = self.next.max(order.from);
         }
--- a/crates/query/tests/language.rs
+++ b/crates/query/tests/language.rs
@@ -118,7 +118,7 @@
         let _ = parse(&text);
     }
 
-    /// The same for text that is nearly valid.
+    /// Parsing nearly valid text returns statements or an error.
     #[test]
     fn parsing_nearly_valid_text_does_not_panic(text in "(show|create|drain|alter|;|=|\"|backend|account|where| |n1|--){0,20}") {
         let _ = parse(&text);
--- a/crates/registry/tests/table.rs
+++ b/crates/registry/tests/table.rs
@@ -60,7 +60,7 @@
     expect_that!(registry.present().count(), eq(0));
 }
 
-/// The same in a process to which the backend server was unknown.
+/// Guards against the same failure in a process to which the backend server was unknown.
 #[googletest::test]
 fn the_departure_of_an_unknown_server_is_remembered() {
     let mut registry = Registry::default();
@@ -138,9 +138,9 @@
         let mut registry = Registry::default();
         registry.merge(NOW, started("a", 1_000, 90, last));
 
-        let back = registry.merge(NOW, started("a", 2_000, 1, Condition::Ready));
+        let restarted = registry.merge(NOW, started("a", 2_000, 1, Condition::Ready));
 
-        expect_that!(back, eq(Change::Updated), "{last:?}");
+        expect_that!(restarted, eq(Change::Updated), "{last:?}");
         expect_that!(registry.present().count(), eq(1), "{last:?}");
     }
 }
