--- a/crates/coordinator/src/core.rs
+++ b/crates/coordinator/src/core.rs
@@ -34,7 +34,7 @@
 /// interval.
 const DEFERRABLE_TIME: Duration = Duration::from_millis(20);
 /// For how long what a leader sent counts as the newest: a leader that lost its majority steps down
-/// within this time, and a coordinator that is cut off sends no document to gateways that have none.
+/// within this time, and a coordinator that is cut off sends no document to gateways that lack one.
 const CURRENT_WINDOW: Duration = Duration::from_millis(900);
 
 /// An event loop iteration that took this long was delayed: half of a gateway's poll interval.
@@ -78,8 +78,7 @@
     calls_made: u64,
 }
 
-/// Starts a coordinator; its thread ends at [`Event::Stop`], or on an error other than one of the
-/// store, after which the core is restarted.
+/// Starts a coordinator; its thread ends at [`Event::Stop`] or on an error other than the store's.
 pub fn start(
     settings: &Settings,
     conf: &Conf,
--- a/crates/coordinator/src/groups.rs
+++ b/crates/coordinator/src/groups.rs
@@ -92,8 +92,7 @@
             return;
         };
         let mut names = discovery.complete_groups().to_vec();
-        // The switch controller of a group that is now incomplete may hold it, and must be able to
-        // release it.
+        // The switch controller of an incomplete group may hold it, and must be able to release it.
         let known = self
             .groups
             .controllers
--- a/crates/coordinator/src/pushes.rs
+++ b/crates/coordinator/src/pushes.rs
@@ -1,5 +1,5 @@
-//! Pushes of changes of backend servers, to gateways and other coordinators: in batches, and at once
-//! if a departure must be known before it is acknowledged.
+//! Pushes changes of backend servers to gateways and other coordinators: in batches, and at once if
+//! a departure must be known before it is acknowledged.
 //!
 //! A push per change and gateway would be tens of thousands of messages when the ranks of a large
 //! group report. So changes are batched, and sent to the gateways that subscribe here.
--- a/crates/coordinator/src/relays.rs
+++ b/crates/coordinator/src/relays.rs
@@ -32,7 +32,7 @@
 /// Approximate number of ranks of a group that report counts: at 500 requests a second about 10,000
 /// tokens per poll.
 const COUNT_SAMPLE: usize = 48;
-/// Time for which a relay is skipped after its first failure to answer; it doubles with each further
+/// Time for which a relay is skipped after its first failure to answer; doubles with each further
 /// failure in a row. One that is dead or cut off is still detected soon enough. If many are silent
 /// at once, the leader itself was probably delayed or its links are new: a new leader that skipped
 /// all of them would call every engine itself, and a group that is still held would be stalled
--- a/crates/coordinator/src/updates.rs
+++ b/crates/coordinator/src/updates.rs
@@ -42,8 +42,8 @@
 impl GatewayLag {
     /// Whether a gateway has been behind for so long that any coordinator should send it the
     /// document. The time counts from when the gateway was first behind with its version, not from
-    /// the newest document: with documents in quick succession help would otherwise never be due.
-    /// A gateway without any document gets it at once.
+    /// the newest document, or frequent documents would put help off forever. A gateway without
+    /// any document gets it at once.
     pub fn needs_help(&mut self, now: Duration, gateway: SocketAddr, version: u64) -> bool {
         let (known, since) = self.0.entry(gateway).or_insert((version, now));
         if *known != version {
@@ -213,8 +213,7 @@
         self.record_coordinators(&update.coordinators);
         let peer = self.peers.by_inbox.entry(inbox).or_default();
         peer.unanswered = 0;
-        // A push between coordinators has no cursor: it does not say up to where registrations are
-        // known.
+        // Pushes from there have no cursor: they do not say up to where registrations are known.
         if update.mark > 0 {
             if peer.incarnation != incarnation {
                 // Another incarnation counts its changes anew.
--- a/crates/directory/src/directory.rs
+++ b/crates/directory/src/directory.rs
@@ -2,7 +2,7 @@
 //! gateways themselves.
 //!
 //! Callers are sent to only some of the gateways if there are more than the requests need. A
-//! gateway learns what load engines sustain from the streams that it has open there; with few streams
+//! gateway learns what load engines sustain from the streams it has open there; with few streams
 //! it knows little and opens a new connection for nearly each request. Gateways that are not
 //! selected stay ready and take over at once.
 
@@ -82,8 +82,7 @@
     /// be sent to the first few. All coordinators that know the same gateways select the same ones.
     pub fn select(&self, now: Duration) -> GatewaySelection {
         let mut ready = match is_discovering(now, self.resumed) {
-            // Reports that arrived during the stall are still unread: the gateways with recent
-            // contact are not all.
+            // Reports from during the stall are unread: gateways with recent contact are not all.
             true => self.ready(now, FALLBACK_TIMEOUT),
             false => self.ready(now, CONTACT_TIMEOUT),
         };
--- a/crates/engine/src/relay.rs
+++ b/crates/engine/src/relay.rs
@@ -282,7 +282,7 @@
     let Some(prepare) = &request.prepare else {
         return (!request.order.is_empty()).then(|| request.order.clone());
     };
-    // An invalid map gives an empty order: the engine refuses it, and the requester gets that status.
+    // An invalid map gives an empty order, which the engine refuses; the requester gets the status.
     let map = decompress_placements(map)
         .map_err(|e| log::warn!("invalid map: {e}"))
         .ok();
--- a/crates/serve/src/client.rs
+++ b/crates/serve/src/client.rs
@@ -20,8 +20,7 @@
 /// Timeout for opening a connection. Two round trips between failure domains take 4 ms; a dropped
 /// SYN is retransmitted only after one second, so trying another backend server is faster.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Idle time after which a connection is not reused, also if its backend server announced a longer
-/// one or none.
+/// Idle time after which a connection is not reused, even if its backend server announced more.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Margin below the announced idle timeout, for packets in flight.
 const IDLE_MARGIN: Duration = Duration::from_millis(800);
@@ -105,7 +104,7 @@
         None
     }
 
-    /// Returns a connection to the pool; `limit` is the idle timeout announced by the backend server.
+    /// Returns a connection to the pool; `limit` is the idle timeout that its server announced.
     pub fn put_back(&self, now: Duration, mut connection: Connection, limit: Option<Duration>) {
         if !connection.sender.is_ready() {
             return;
@@ -162,8 +161,8 @@
     })
 }
 
-/// Sets the socket options that limit how long a connection can hang: an instance that has lost power
-/// or network sends nothing, and without these limits a connection to it hangs for minutes.
+/// Sets the socket options that limit how long a connection can hang: an instance without power or
+/// network sends nothing, and without these limits a connection to it hangs for minutes.
 ///
 /// Closing a connection resets it. After an ordinary close the kernel would continue to retransmit
 /// unacknowledged data: an abandoned request would arrive and start when the network recovers or a
