--- a/crates/fleet/src/gateway.rs
+++ b/crates/fleet/src/gateway.rs
@@ -24,7 +24,7 @@
 }
 
 impl Gateway {
-    /// Polls for the first time at `next_poll`; `random` is its random number.
+    /// Polls for the first time at `next_poll`; `random` selects the seed that it starts with.
     pub(crate) fn new(
         n: usize,
         seeds: Vec<SocketAddr>,
--- a/crates/fleet/tests/telling.rs
+++ b/crates/fleet/tests/telling.rs
@@ -81,8 +81,8 @@
     }
 }
 
-/// Guards against cursors of an earlier incarnation that hide what coordinators learn after an
-/// empty restart.
+/// Guards against cursors of an earlier incarnation that hide what coordinators learn after a
+/// restart with an empty registry.
 #[googletest::test]
 fn new_servers_reach_all_gateways_after_coordinators_restart_empty() {
     for restarted in [1, 5, 9] {
--- a/crates/group/src/balance.rs
+++ b/crates/group/src/balance.rs
@@ -5,7 +5,8 @@
 use crate::RankId;
 use crate::map::ExpertMap;
 
-/// Maximum number of copies that one plan loads, which keeps the pause short.
+/// Number of copies from which on a plan gets no further change, which keeps the pause short. The
+/// last change may load two copies, so that a plan may load one more.
 const MAX_MOVES: usize = 64;
 /// A plan must gain more than its cost times this factor: loads are estimates, and moving back
 /// costs as much again.
@@ -258,12 +259,12 @@
         let free = |(rank, (_, used)): &(usize, &(f64, usize))| {
             *used < costs.slots && !holders.contains(&(*rank as RankId))
         };
-        let idlest = sums
+        let least_loaded = sums
             .iter()
             .enumerate()
             .filter(free)
             .min_by(|a, b| a.1.0.total_cmp(&b.1.0));
-        if let Some(rank) = idlest.map(|(rank, _)| rank) {
+        if let Some(rank) = least_loaded.map(|(rank, _)| rank) {
             holders.push(rank as RankId);
             if let Some((sum, used)) = sums.get_mut(rank) {
                 *sum += share;
--- a/crates/group/src/coordinator.rs
+++ b/crates/group/src/coordinator.rs
@@ -179,8 +179,8 @@
         // A report with this leader's fencing token shows that the rank no longer accepts grants of
         // an earlier leader. Only then is the granted step that it reports final.
         let acked = |r: &RankReport| r.prepared == version && r.fence == self.fence;
-        // A rank that missed the last switch would run its steps on the map before it, and could no
-        // longer tell once grants of this switch arrive.
+        // A rank that missed the last switch would run its steps on the previous map, and could no
+        // longer detect that once grants of this switch arrive.
         let ready = |r: &RankReport| acked(r) && r.version == self.committed.version;
         let all = self.all_present(now) && self.reports.values().all(|(_, r)| ready(r));
         if all {
--- a/crates/group/src/rebalance.rs
+++ b/crates/group/src/rebalance.rs
@@ -254,8 +254,8 @@
     }
 
     fn can_receive(&self, expert: usize, target: usize, copied: &[usize]) -> bool {
-        let has_room = || self.has_slot(target) || self.droppable(target).next().is_some();
-        self.can_copy(expert, target, copied) && has_room()
+        let has_capacity = || self.has_slot(target) || self.droppable(target).next().is_some();
+        self.can_copy(expert, target, copied) && has_capacity()
     }
 
     fn can_swap(
@@ -305,7 +305,7 @@
         self.sums.get(rank).copied().unwrap_or(0.0)
     }
 
-    /// Changes of load caused by a change, with one entry per rank.
+    /// Changes of load caused by `action`, with one entry per rank.
     fn deltas(&self, action: Move) -> Vec<(usize, f64)> {
         let mut deltas = Vec::new();
         match action {
--- a/crates/group/src/switch_controller/mod.rs
+++ b/crates/group/src/switch_controller/mod.rs
@@ -414,8 +414,8 @@
         self.wait_until(now + RECOVERY_INTERVAL)
     }
 
-    /// The group is incomplete: a rank is or was absent. If polling is cheap, it polls as often as
-    /// for a healthy group.
+    /// The group is incomplete: a rank is or was absent. If polling is cheap, the controller polls
+    /// as often as for a healthy group.
     fn wait_for_ranks(&mut self, now: Duration) -> Vec<Call> {
         let fresh = self.reports.values().filter(|r| r.fresh).count();
         let free = 2 * fresh > self.reports.len();
--- a/crates/group/src/switch_controller/planning.rs
+++ b/crates/group/src/switch_controller/planning.rs
@@ -17,13 +17,13 @@
 const REPORT_AGE: Duration = Duration::from_millis(220);
 /// Copying that takes longer is abandoned; nothing is armed at that point.
 const COPY_TIMEOUT: Duration = Duration::from_secs(6);
-/// Copying time that one switch may cost a rank. Until it is done nothing improves, and passes take
-/// 15 % longer.
+/// Copying time that one switch may cost a rank. Until copying is done nothing improves, and passes
+/// take 15 % longer.
 const COPY_BUDGET: Duration = Duration::from_millis(120);
 /// Minimum relief of a layer's busiest rank by one change, as a fraction of the mean: copies use
 /// the link and slow the passes down, and small gains vanish with the next change of demand.
 const MIN_CHANGE_GAIN: f64 = 0.1;
-/// The search is not repeated up to this much imbalance above that of the last map found.
+/// The search is not repeated while imbalance exceeds that of the last map found by less than this.
 const IMBALANCE_TOLERANCE: f64 = 0.04;
 /// The search is repeated once this many times the polls of the last one are known, which reduces
 /// the error of the mean by three tenths.
--- a/crates/group/src/switch_controller/polling.rs
+++ b/crates/group/src/switch_controller/polling.rs
@@ -15,8 +15,8 @@
 /// pass before a report is relied on.
 pub(super) const REPORT_LAG: Duration = Duration::from_millis(700);
 
-/// Granularity of reported slowdowns, in hundredths. A rank within a quarter of a healthy one's
-/// time counts as healthy, and smaller changes are not worth a message.
+/// Granularity of reported slowdowns, in hundredths. They are rounded to the nearest step, so a
+/// rank counts as slow from half a step on; smaller changes are not worth a message.
 const SLOWDOWN_STEP: u32 = 25;
 /// Slowdown of a healthy rank.
 const HEALTHY: u32 = 100;
@@ -66,9 +66,9 @@
         if !replies.values().all(|r| matches!(r, Reply::Done)) {
             return self.restart(now);
         }
-        // An engine that this leader fenced before keeps every other leader out, which would have
-        // to fence the whole group before any order. So old reports hide no order of another
-        // leader.
+        // Any other leader would have to fence the whole group before its first order, and an
+        // engine that this leader fenced before keeps it out. So old reports hide no order of
+        // another leader.
         let known = self.engines.iter().any(|e| self.fenced.contains(e));
         self.fenced = self.engines.clone();
         if known {
--- a/crates/group/tests/switches.rs
+++ b/crates/group/tests/switches.rs
@@ -31,9 +31,9 @@
     Elect,
     /// Operators request another map.
     RequestMap,
-    /// Kills an engine, which starts again after some ticks.
+    /// Replaces an engine with a newly started one within the same tick.
     RestartEngine(u32),
-    /// The same for its agent.
+    /// The same for a rank's agent.
     RestartAgent(u32),
     /// Stalls a rank for some ticks.
     Stall(u32, u8),
@@ -317,7 +317,7 @@
                 until,
                 ..
             } => {
-                // A returning engine joins at the committed map, not before it.
+                // A restarted engine joins at the first step of the committed map, not before it.
                 if engine.maps.is_empty() {
                     engine.next = engine.next.max(*from);
                 }
--- a/crates/quorum/src/leader.rs
+++ b/crates/quorum/src/leader.rs
@@ -37,9 +37,9 @@
     round: u64,
     /// Time of the next round.
     round_due: Duration,
-    /// Time of its election.
+    /// When this replica was elected.
     since: Duration,
-    /// Index of the first entry of its term.
+    /// Index of the first entry of this leader's term.
     first_index: Index,
 }
 
@@ -284,8 +284,8 @@
         self.members_committed() && !self.members.values().any(unknown)
     }
 
-    /// Whether a majority has responded recently. A leader without responses from a majority for an
-    /// election's time steps down: it may be the one that is partitioned.
+    /// Whether a majority has responded recently. A leader without responses from a majority for
+    /// twice `Timing::election` steps down: it may be the one that is partitioned.
     pub(crate) fn has_quorum_contact(&self, now: Duration) -> bool {
         let round = quorum_value(&self.members, |id| self.valid_round_of(id));
         let start = self.leading.rounds.iter().find(|(r, _)| *r == round);
--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -23,13 +23,13 @@
 /// Why a proposal was rejected. Nothing was appended.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// Another replica is the leader, as far as this one knows.
+    /// This replica is not the leader.
     #[snafu(display("not the leader"))]
     NotLeader {
         /// The leader, if known.
         leader: Option<MemberId>,
     },
-    /// The last membership change is not committed yet.
+    /// The last membership change, or the first entry of the leader's term, is not committed yet.
     #[snafu(display("a membership change is in progress"))]
     ChangeUnderWay,
     /// The membership change is invalid.
--- a/crates/quorum/src/membership.rs
+++ b/crates/quorum/src/membership.rs
@@ -30,7 +30,7 @@
     pub id: MemberId,
     /// Address for messages to it.
     pub address: String,
-    /// The current identity of its data folder.
+    /// The current identity of its data directory.
     pub identity: u64,
     /// The request was forwarded by a replica that received it.
     pub forwarded: bool,
@@ -191,7 +191,7 @@
         self.find_silent(now, REMOVE_AFTER, replica, false)
     }
 
-    /// A voter, or a learner, that has been silent for at least `min_time`.
+    /// A voter, or a learner if `voter` is false, that has been silent for at least `min_time`.
     fn find_silent(
         &self,
         now: Duration,
--- a/crates/quorum/src/model.rs
+++ b/crates/quorum/src/model.rs
@@ -13,7 +13,7 @@
 /// A member of the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Random number stored in the data folder; 0 if not yet known. A member whose folder was
+    /// Random number stored in the data directory; 0 if not yet known. A member whose directory was
     /// emptied has a different one, and its votes no longer count.
     pub identity: u64,
     /// Address for messages to it.
@@ -120,7 +120,7 @@
 pub struct ReplicaConfig {
     /// Id of this replica.
     pub id: MemberId,
-    /// Its identity, from the data folder.
+    /// Its identity, from the data directory.
     pub identity: u64,
     /// The initial voters, for a log that does not exist yet.
     pub initial_members: Members,
@@ -137,7 +137,7 @@
     pub id: MemberId,
     /// Last index known to be synced there.
     pub synced: Index,
-    /// Its data folder has the identity recorded for the member.
+    /// Its data directory has the identity recorded for the member.
     pub identity_matches: bool,
     /// It has not responded for several rounds.
     pub silent: bool,
--- a/crates/quorum/src/replica.rs
+++ b/crates/quorum/src/replica.rs
@@ -39,7 +39,7 @@
     pub(crate) snapshot: Snapshot,
     /// Time of the next election.
     pub(crate) election_due: Duration,
-    /// Pre-votes and campaigns since the last contact with a leader that others may have voted in.
+    /// Pre-votes and campaigns that others may have voted in, since the last contact with a leader.
     pub(crate) campaigns: u32,
     /// Whether it has ended a pre-vote in favor of another's since the last contact with a leader.
     pub(crate) yielded: bool,
@@ -225,7 +225,8 @@
         &self.members
     }
 
-    /// Whether the members in effect, as known here, include this replica under its own identity.
+    /// Whether the members in effect, as known here, include this replica under its own identity or
+    /// an unknown one.
     pub fn is_member(&self) -> bool {
         let me = self.members.get(&self.config.id);
         me.is_some_and(|m| m.identity == 0 || m.identity == self.config.identity)
@@ -239,7 +240,7 @@
 
     /// Whether everything committed until `within` ago is known here to be committed. The disk may
     /// hold an older state after a restart, and its newest entries may or may not be committed:
-    /// only a leader's message tells, once an entry of the leader's own term is committed.
+    /// only a leader's message shows this, once an entry of the leader's own term is committed.
     pub fn is_current(&self, now: Duration, within: Duration) -> bool {
         let led =
             self.role == Role::Leader && self.term_committed() && self.has_quorum_contact(now);
@@ -446,12 +447,12 @@
     }
 
     fn members_at(&self, index: Index) -> Members {
-        let held = self.log.range(self.log.first(), index).iter().rev();
-        let mut named = held.filter_map(|e| match &e.payload {
+        let entries = self.log.range(self.log.first(), index).iter().rev();
+        let mut lists = entries.filter_map(|e| match &e.payload {
             Payload::Members(m) => Some(m.clone()),
             _ => None,
         });
-        named
+        lists
             .next()
             .unwrap_or_else(|| self.snapshot.members.clone())
     }
--- a/crates/quorum/tests/directed.rs
+++ b/crates/quorum/tests/directed.rs
@@ -39,7 +39,7 @@
 
         let steps = (0..300).take_while(|_| sim.leader().is_none() && sim.run(1).is_ok());
 
-        // In steps of 10 ms, with clock rates 8 % apart.
+        // In steps of 10 ms, with clocks up to 8 % fast or slow, so up to 16 % apart.
         expect_that!(steps.count(), le(90), "seed {seed}");
     }
 }
@@ -100,8 +100,8 @@
 /// request first. The cause would be that it has forgotten its answer and votes at once.
 #[gtest]
 fn a_restarted_voter_waits_out_the_lease_it_may_have_answered() {
-    let (mut sim, leader, [deaf, restarting]) = with_leader();
-    sim.apply(&Action::PartitionPair(leader, deaf)).unwrap();
+    let (mut sim, leader, [cut_off, restarting]) = with_leader();
+    sim.apply(&Action::PartitionPair(leader, cut_off)).unwrap();
     sim.run(60).unwrap();
     for steps in 0..300 {
         sim.run(5 + steps % 13).unwrap();
--- a/crates/quorum/tests/members.rs
+++ b/crates/quorum/tests/members.rs
@@ -120,7 +120,7 @@
     }
 }
 
-/// Random schedules per cluster size; `BN_SEEDS` sets more.
+/// Random schedules per cluster size; `BN_SEEDS` overrides the number.
 fn seed_count() -> u64 {
     let value = std::env::var("BN_SEEDS").ok();
     value.and_then(|n| n.parse().ok()).unwrap_or(12)
--- a/crates/quorum/tests/simulation/mod.rs
+++ b/crates/quorum/tests/simulation/mod.rs
@@ -307,7 +307,8 @@
         }
     }
 
-    /// Whether all replicas are committed voters of the latest leader with the disks it knows.
+    /// Whether the latest leader's members are committed, and all replicas are voters among them
+    /// with the disks that it knows.
     pub(crate) fn repaired(&self) -> bool {
         let leader = self
             .running
