--- a/crates/fleet/src/gateway.rs
+++ b/crates/fleet/src/gateway.rs
@@ -17,7 +17,7 @@
     pub(crate) traffic: Traffic,
 }
 
-/// How updates brought one backend server's registration.
+/// Copies of one backend server's registration that updates brought, and when the first came.
 pub(crate) struct KnownServer {
     pub(crate) copies: u32,
     pub(crate) first_received: Duration,
--- a/crates/fleet/src/traffic.rs
+++ b/crates/fleet/src/traffic.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// Highest rate of any of these processes over `time`, messages and bytes apart.
+/// Highest rate of any of these processes over `time`, messages and bytes separately.
 pub(crate) fn peak_rate(counts: impl Iterator<Item = Traffic>, time: Duration) -> TrafficRate {
     let seconds = time.as_secs_f64();
     counts.fold(TrafficRate::default(), |max, t| TrafficRate {
--- a/crates/group/src/balance.rs
+++ b/crates/group/src/balance.rs
@@ -102,7 +102,7 @@
 }
 
 /// The best plan found, if it pays off. In each layer in turn, repeatedly applies the change that
-/// lowers its busiest rank most, as long as that change pays off by itself.
+/// lowers its busiest rank's load most, as long as that change pays off by itself.
 pub fn plan(map: &ExpertMap, estimate: &Estimate, costs: &Costs) -> Option<Plan> {
     let mut next = map.clone();
     let mut moves = 0;
@@ -138,8 +138,8 @@
 
 type Layer = Vec<Vec<RankId>>;
 
-/// The change of one layer that lowers its busiest rank most per copy loaded: copies or moves one
-/// of that rank's experts to a lightly loaded rank, or exchanges two.
+/// The change of one layer that lowers its busiest rank's load most per copy loaded: copies or
+/// moves one of that rank's experts to a lightly loaded rank, or exchanges two.
 fn best_change(layer: &Layer, loads: &[f64], costs: &Costs) -> Option<(Layer, f64, usize)> {
     let sums = rank_loads(layer, loads, costs.ranks);
     let before = busiest(&sums);
--- a/crates/group/tests/muster.rs
+++ b/crates/group/tests/muster.rs
@@ -54,8 +54,8 @@
 }
 
 /// Guards against a group that is controlled while a rank is missing, or never again: a rank has
-/// crashed, its successor has not reported yet, and the group was considered complete too early or
-/// its known state certain.
+/// crashed, its successor has not reported yet, and the group was considered complete too early, or
+/// its last known ranks were considered certain.
 #[googletest::test]
 fn a_group_with_an_unknown_rank_is_incomplete_and_uncertain_groups_are_queried_again() {
     let mut discovery = GroupDiscovery::new(0);
--- a/crates/quorum/src/leader.rs
+++ b/crates/quorum/src/leader.rs
@@ -83,7 +83,7 @@
         start.map(|(_, at)| *at + self.config.timing.lease)
     }
 
-    /// Whether it leads under a valid lease and knows everything that was ever committed.
+    /// Whether this replica leads under a valid lease and knows everything that was ever committed.
     pub fn holds_lease(&self, now: Duration) -> bool {
         self.term_committed() && self.lease_until().is_some_and(|until| now < until)
     }
--- a/crates/quorum/src/replica.rs
+++ b/crates/quorum/src/replica.rs
@@ -18,8 +18,8 @@
 /// since its start: usually all replicas have just started, there is no leader to wait for, and
 /// until one is elected no process can get the configuration. A pre-vote changes no state.
 ///
-/// It grows by this fraction with each consecutive pre-vote, up to the regular timeout: on busy
-/// instances votes take longer than a short pre-vote, and replicas would depose each other.
+/// The interval grows by this fraction with each consecutive pre-vote, up to the regular timeout:
+/// on busy instances votes take longer than a short pre-vote, and replicas would depose each other.
 const STARTUP_FACTOR: f64 = 0.2;
 /// Factor by which a replica extends a lease that is measured by another clock: with clocks up to
 /// 8 % fast or slow, two leaders must not hold a lease at once.
--- a/crates/quorum/src/votes.rs
+++ b/crates/quorum/src/votes.rs
@@ -91,7 +91,7 @@
     /// Gives the replica that would get this one's vote the time to be elected. Otherwise replicas
     /// that start together all start a pre-vote before the first one's votes arrive, all become
     /// candidates, and each votes for itself. Of two replicas in a pre-vote the one with the lower
-    /// id continues. A replica yields only once: the other may not receive any responses.
+    /// id continues. A replica yields only once: the other might not receive any responses.
     fn yield_to(&mut self, now: Duration, to: &str) {
         match self.role {
             Role::Follower => self.reset_election_timer(now),
--- a/crates/quorum/tests/simulation/mod.rs
+++ b/crates/quorum/tests/simulation/mod.rs
@@ -17,7 +17,8 @@
 const REPLICAS: usize = 3;
 const STEP: Duration = Duration::from_millis(10);
 const SETTLE_STEPS: usize = 1500;
-/// Entries kept in memory behind a snapshot, as in coordinators: others get the snapshot.
+/// Entries kept in memory behind a snapshot, as in coordinators: replicas that lack earlier ones
+/// get the snapshot.
 const RETAINED_ENTRIES: u64 = 3;
 
 /// One event of a schedule.
