--- a/crates/fleet/src/gateway.rs
+++ b/crates/fleet/src/gateway.rs
@@ -17,14 +17,14 @@
     pub(crate) traffic: Traffic,
 }
 
-/// How updates brought one backend server's registration.
+/// Copies of one backend server's registration that updates brought, and when the first came.
 pub(crate) struct KnownServer {
     pub(crate) copies: u32,
     pub(crate) first_received: Duration,
 }
 
 impl Gateway {
-    /// Polls for the first time at `next_poll`; `random` is its random number.
+    /// Polls for the first time at `next_poll`; `random` selects the seed that it starts with.
     pub(crate) fn new(
         n: usize,
         seeds: Vec<SocketAddr>,
--- a/crates/group/src/balance.rs
+++ b/crates/group/src/balance.rs
@@ -5,7 +5,8 @@
 use crate::RankId;
 use crate::map::ExpertMap;
 
-/// Maximum number of copies that one plan loads, which keeps the pause short.
+/// Number of copies from which on a plan gets no further change, which keeps the pause short. The
+/// last change may load two copies, so that a plan may load one more.
 const MAX_MOVES: usize = 64;
 /// A plan must gain more than its cost times this factor: loads are estimates, and moving back
 /// costs as much again.
@@ -101,7 +102,7 @@
 }
 
 /// The best plan found, if it pays off. In each layer in turn, repeatedly applies the change that
-/// lowers its busiest rank most, as long as that change pays off by itself.
+/// lowers its busiest rank's load most, as long as that change pays off by itself.
 pub fn plan(map: &ExpertMap, estimate: &Estimate, costs: &Costs) -> Option<Plan> {
     let mut next = map.clone();
     let mut moves = 0;
@@ -137,8 +138,8 @@
 
 type Layer = Vec<Vec<RankId>>;
 
-/// The change of one layer that lowers its busiest rank most per copy loaded: copies or moves one
-/// of that rank's experts to a lightly loaded rank, or exchanges two.
+/// The change of one layer that lowers its busiest rank's load most per copy loaded: copies or
+/// moves one of that rank's experts to a lightly loaded rank, or exchanges two.
 fn best_change(layer: &Layer, loads: &[f64], costs: &Costs) -> Option<(Layer, f64, usize)> {
     let sums = rank_loads(layer, loads, costs.ranks);
     let before = busiest(&sums);
@@ -258,12 +259,12 @@
         let free = |(rank, (_, used)): &(usize, &(f64, usize))| {
             *used < costs.slots && !holders.contains(&(*rank as RankId))
         };
-        let idlest = sums
+        let least_loaded = sums
             .iter()
             .enumerate()
             .filter(free)
             .min_by(|a, b| a.1.0.total_cmp(&b.1.0));
-        if let Some(rank) = idlest.map(|(rank, _)| rank) {
+        if let Some(rank) = least_loaded.map(|(rank, _)| rank) {
             holders.push(rank as RankId);
             if let Some((sum, used)) = sums.get_mut(rank) {
                 *sum += share;
