--- a/crates/node/src/agent/mod.rs
+++ b/crates/node/src/agent/mod.rs
@@ -29,14 +29,15 @@
 
 const TICK: Duration = Duration::from_millis(20);
 const MAX_BATCH: usize = 256;
-/// Time without an announcement after which no requests are sent to the backend server.
+/// Time without an announcement after which no requests are sent to the backend server; also the
+/// time without an answer after which an entry is reported to less often.
 const MAX_SILENCE: Duration = Duration::from_secs(3);
 
 /// Events handled by the agent thread.
 pub(crate) enum Event {
     /// An announcement of the backend server.
     Announced(Box<Announcement>),
-    /// A message from an entry.
+    /// A message from an entry or from the control leader.
     Message(Box<Envelope>),
     /// Feedback in the response head of the backend server.
     ResponseHead(Feedback),
@@ -129,7 +130,7 @@
             for event in channel.try_iter().take(MAX_BATCH) {
                 self.handle(event);
             }
-            // Entries switch to others at once, and back when this backend server accepts again.
+            // A change is reported at once, so that entries use other backend servers meanwhile.
             let open = self.accepts_requests(self.now());
             let changed = std::mem::replace(&mut self.reported_open, open) != open;
             self.report(changed);
@@ -148,7 +149,7 @@
         match event {
             Event::Announced(a) => self.on_announcement(*a),
             Event::Message(envelope) => self.on_message(*envelope),
-            Event::ResponseHead(answer) => self.on_answer(&answer),
+            Event::ResponseHead(feedback) => self.on_feedback(&feedback),
             Event::RequestEnded(key) => {
                 self.running.remove(&key);
                 self.running_count
@@ -165,7 +166,7 @@
         }
     }
 
-    fn on_answer(&mut self, feedback: &Feedback) {
+    fn on_feedback(&mut self, feedback: &Feedback) {
         let now = self.now();
         let name = self.backend.as_ref().map(|b| b.name.clone());
         let draw = rand::random();
@@ -178,8 +179,11 @@
             draw,
         );
         if changed.is_some() {
-            let rest = feedback.directives.backoff.unwrap_or_default();
-            let detail = format!("the backend server wants {} ms of rest", rest.as_millis());
+            let backoff = feedback.directives.backoff.unwrap_or_default();
+            let detail = format!(
+                "the backend server wants {} ms of rest",
+                backoff.as_millis()
+            );
             self.common.events.note("rest", detail);
         }
     }
--- a/crates/node/src/agent/orders.rs
+++ b/crates/node/src/agent/orders.rs
@@ -11,7 +11,8 @@
 use std::thread;
 use std::time::Duration;
 
-/// Maximum number of queued orders; further ones are dropped and sent again after a later report.
+/// Maximum number of queued orders; further ones are dropped, and the leader sends them again after
+/// a later report.
 const QUEUE_CAPACITY: usize = 32;
 const ENGINE_TIMEOUT: Duration = Duration::from_secs(2);
 
--- a/crates/node/src/control/lease.rs
+++ b/crates/node/src/control/lease.rs
@@ -33,7 +33,7 @@
 }
 
 impl Leases {
-    /// Starts a new leader: leases of an earlier one are unknown and may be valid for a while.
+    /// Resets for a new leader: leases of an earlier one are unknown and may be valid for a while.
     pub(crate) fn start(&mut self, now: Duration) {
         self.holders.clear();
         self.allocator = RateAllocator::default();
--- a/crates/node/src/entry/dispatch.rs
+++ b/crates/node/src/entry/dispatch.rs
@@ -18,7 +18,7 @@
 const START_REPORT_GRACE: Duration = Duration::from_millis(1000);
 /// Maximum number of requests queued for capacity.
 const MAX_QUEUED: usize = 2048;
-/// Retry delay after a refusal for lack of capacity.
+/// Retry delay after a refusal for lack of capacity, or with a 502 after attempts that did not run.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 impl Entry {
