--- a/crates/cli/src/cmd/bench/control.rs
+++ b/crates/cli/src/cmd/bench/control.rs
@@ -213,7 +213,7 @@
     })
 }
 
-/// Sorted times from sending a command to the response that it is in force.
+/// Sorted times from sending a command to its response, which must have status 200.
 fn command_times(args: &Args) -> CliResult<Vec<Duration>> {
     let mut times = Vec::new();
     for i in 0..args.commands {
--- a/crates/cli/src/cmd/bench/fleet.rs
+++ b/crates/cli/src/cmd/bench/fleet.rs
@@ -41,12 +41,12 @@
     ]);
     for gateways in &args.sizes {
         let started = Instant::now();
-        let shape = FleetSpec {
+        let spec = FleetSpec {
             gateways: *gateways,
             coordinators: args.coordinators,
             loss_rate: args.lost.clamp(0.0, 1.0),
         };
-        let report = run_scenario(args.seed, shape, args.servers);
+        let report = run_scenario(args.seed, spec, args.servers);
         t.add_row(row(*gateways, &report, started));
     }
     println!("{t}");
--- a/crates/cli/src/cmd/bench/load.rs
+++ b/crates/cli/src/cmd/bench/load.rs
@@ -24,7 +24,7 @@
     buckthornnotch bench load --ask 127.0.0.1:7101 --rate 200 --seconds 20\n  \
     buckthornnotch bench load --direct 127.0.0.1:7501,127.0.0.1:7502 --rate 200")]
 pub(crate) struct Args {
-    /// Callers' addresses, used in round-robin order; the first is queried for the others.
+    /// Callers' address of an entry; requests go round-robin to the addresses in its reply.
     #[arg(long, default_value = "127.0.0.1:7101")]
     ask: String,
     /// Send directly to these backend servers in round-robin order, for comparison.
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -32,7 +32,8 @@
 }
 
 impl Error {
-    /// Exit code. 1: failed; 2: invalid settings; 3: refused; 4: no answer.
+    /// Exit code. 1: failed; 2: invalid settings; 3: refused; 4: no answer, or one with an
+    /// unexpected status or unreadable content.
     pub(crate) fn code(&self) -> u8 {
         match self {
             Error::Settings { .. } => 2,
