--- a/crates/cli/tests/asking.rs
+++ b/crates/cli/tests/asking.rs
@@ -133,7 +133,7 @@
         fleet.last_line("g6", "backend_server_limit"),
         contains_substring("limited")
     );
-    // It sends its own share, and no initial requests in ignorance of the limit.
+    // The started gateway sends its own share, and no initial requests in ignorance of the limit.
     expect_that!(from_started, le(2));
     expect_that!(from_all, ge(40));
 }
@@ -194,7 +194,7 @@
 
 /// Guards against most callers being rejected while half of the backend servers are idle. Some
 /// reject requests and request backoff; as they respond at once they have the least load, so the
-/// next requests go to them too, and are rejected after two of them. The retry time was never read:
+/// next requests go to them too, and fail once two of them reject. The retry time was never read:
 /// each gateway sent 24 to 39 requests during a backoff of 3 s, from its first second to its last;
 /// a gateway that obeyed it in part, or late, would have sent fewer.
 #[googletest::test]
@@ -213,7 +213,7 @@
     }
 
     let (interval, duration) = (Duration::from_millis(40), Duration::from_secs(5));
-    // Before that a request may be rejected by two of them, which is all that its route allows.
+    // Before that, two of them may reject a request, which is as many attempts as its route allows.
     let obeyed_by = Instant::now() + OBEYED_WITHIN;
     let responses = thread::scope(|s| {
         let gets = s.spawn(|| send_all(&fleet, &GATEWAYS, ("GET", "/look/1"), interval, duration));
--- a/crates/cli/tests/documents.rs
+++ b/crates/cli/tests/documents.rs
@@ -87,8 +87,8 @@
     expect_that!(ready_before, eq((false, true)));
 }
 
-/// Guards against nobody knowing that fewer coordinators replicate the log than exist, while one is
-/// absent: no command showed which of them vote.
+/// Guards against an absent coordinator going unnoticed, while fewer replicate the log than exist:
+/// no command showed which of them vote.
 #[googletest::test]
 fn operators_see_which_members_vote() {
     let fleet = Fleet::start(41);
@@ -116,8 +116,8 @@
 }
 
 /// Guards against a new service that has no backend servers although they run: a coordinator is
-/// absent while a document adds the service and starts while there is no majority; they announce
-/// themselves to it, and it rejects them on the basis of its outdated document.
+/// absent while a document adds the service and starts while there is no majority; the backend
+/// servers announce themselves to it, and it rejects them because of its outdated document.
 #[googletest::test]
 fn a_coordinator_with_an_outdated_document_accepts_new_services() {
     let mut fleet = Fleet::start(39);
@@ -226,7 +226,7 @@
 
 /// Guards against callers that get no response at all in the first two seconds after all processes
 /// started: a gateway is up before it has the configuration; its callers are rejected, retry soon
-/// and are rejected again. It could expect the configuration in a moment, and did not wait for it.
+/// and are rejected again. The gateway could expect the configuration soon and did not wait.
 #[googletest::test]
 fn a_starting_gateway_holds_callers_until_it_is_configured() {
     let fleet = Fleet::start_unconfigured(36);
--- a/crates/cli/tests/fleet/mod.rs
+++ b/crates/cli/tests/fleet/mod.rs
@@ -290,7 +290,8 @@
         self.addr(n, 4)
     }
 
-    /// Announces a backend server to a coordinator and waits until both gateways have logged it.
+    /// Announces a backend server to a coordinator and waits until those of the gateways 4 and 5
+    /// that run have logged it.
     pub(crate) fn announce(&self, backend: &Backend, service: &str, state: &str, sequence: u64) {
         let head = format!("PUT {}{} HTTP/1.1\r\nhost: x", PATHS.backends, backend.id);
         let body = serde_json::json!({
--- a/crates/cli/tests/gateway.rs
+++ b/crates/cli/tests/gateway.rs
@@ -95,7 +95,7 @@
     ("response ended by close", unframed, 200, 200, 1),
 ];
 
-/// Guards against a request that may run only once running twice or being reported as not-run after
+/// Guards against a request that may run only once but runs twice, or is reported as not-run after
 /// it ran, and against a truncated response that looks complete, for each way in which a backend
 /// server may fail: an inconclusive outcome was treated as a conclusive one.
 #[googletest::test]
--- a/crates/cli/tests/resting.rs
+++ b/crates/cli/tests/resting.rs
@@ -19,7 +19,7 @@
 /// Guards against callers that receive the failure of an overloaded backend server for as long as
 /// it is overloaded: it rejects a request and requests backoff, but the agent in front of it still
 /// forwards further requests. The agent passed the retry time on and did not read it, nor did
-/// gateways then. 133 requests arrived during the backoff, as many as at the other one.
+/// gateways then. 133 requests arrived during the backoff, as many as at the other backend server.
 #[googletest::test]
 fn an_agent_holds_requests_back_from_a_backend_server_that_requests_backoff() {
     let mut system = System::new(SystemSpec {
--- a/crates/cli/tests/stopping.rs
+++ b/crates/cli/tests/stopping.rs
@@ -3,7 +3,7 @@
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
-// Other test programs use the rest of this module.
+// Other test targets use the rest of this module.
 #[allow(dead_code)]
 mod fleet;
 
