--- a/crates/quorum/tests/simulation/mod.rs
+++ b/crates/quorum/tests/simulation/mod.rs
@@ -17,7 +17,8 @@
 const REPLICAS: usize = 3;
 const STEP: Duration = Duration::from_millis(10);
 const SETTLE_STEPS: usize = 1500;
-/// Entries kept in memory behind a snapshot, as in coordinators: others get the snapshot.
+/// Entries kept in memory behind a snapshot, as in coordinators: replicas that lack earlier ones
+/// get the snapshot.
 const RETAINED_ENTRIES: u64 = 3;
 
 /// One event of a schedule.
@@ -307,7 +308,8 @@
         }
     }
 
-    /// Whether all replicas are committed voters of the latest leader with the disks it knows.
+    /// Whether the latest leader's members are committed, and all replicas are voters among them
+    /// with the disks that it knows.
     pub(crate) fn repaired(&self) -> bool {
         let leader = self
             .running
