--- a/crates/node/src/agent/engine.rs
+++ b/crates/node/src/agent/engine.rs
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Reports to the agent whether more requests are accepted, before the caller gets a byte.
+    /// Reports to the agent whether the backend server accepts more, before the caller gets a byte.
     fn report_response(&self, sent_at: Duration, head: &http::response::Parts) {
         let backoff = match head.status {
             http::StatusCode::SERVICE_UNAVAILABLE => retry_after(&head.headers),
--- a/crates/node/src/pages.rs
+++ b/crates/node/src/pages.rs
@@ -34,7 +34,7 @@
     bn_serve::serve(listener, "pages", tls, handle).context(ListenSnafu { address })
 }
 
-/// Serves metrics, for roles with few other endpoints.
+/// Serves metrics and `handlers`, for roles with few other endpoints.
 pub fn serve_metrics(address: SocketAddr, metrics: Metrics, handlers: Vec<Handler>) -> Result<()> {
     let listener = TcpListener::bind(address).context(ListenSnafu { address })?;
     let handlers = Arc::new(handlers);
